--- a/crates/bergamotpitch-gateway/examples/gateway_overhead.rs
+++ b/crates/bergamotpitch-gateway/examples/gateway_overhead.rs
@@ -108,7 +108,7 @@
 
 async fn stay_late(gateway: Rc<Gateway>) {
     loop {
-        gateway.lateness.note(Duration::from_secs(1));
+        gateway.loop_lag.note(Duration::from_secs(1));
         tokio::time::sleep(LATE_INTERVAL).await;
     }
 }
--- a/crates/bergamotpitch-gateway/src/bodies.rs
+++ b/crates/bergamotpitch-gateway/src/bodies.rs
@@ -220,7 +220,7 @@
         let source = std::mem::replace(&mut self.source, Source::Ended);
         let Some(run) = self.run.take() else { return };
         let key = run.key();
-        run.settle(false);
+        run.complete(false);
         if let (Source::Reading(_, sender), Reuse::Idle(idle)) = (source, self.reuse) {
             self.gateway.keep_connection(key, sender, idle);
         }
@@ -247,7 +247,7 @@
     fn broken(&mut self, detail: &str) -> Option<Option<Result<Frame<Bytes>, Cut>>> {
         let key = self.run.as_ref().map(Run::key);
         if let Some(run) = self.run.take() {
-            run.settle(true);
+            run.complete(true);
         }
         decision(
             EventKind::AttemptFailed,
--- a/crates/bergamotpitch-gateway/src/calls.rs
+++ b/crates/bergamotpitch-gateway/src/calls.rs
@@ -27,7 +27,7 @@
 use crate::gateways::Gateway;
 use crate::headers::remove_hop_headers;
 use crate::logs::decision;
-use crate::placements::{Placed, Run, has_place, place};
+use crate::placements::{PlacedRequest, Run, has_place, place};
 use crate::refusals::{Inputs, Refusal, response_of_refusal};
 use crate::served_streams::ServedStream;
 
@@ -129,7 +129,7 @@
         Err(refusal) => {
             gateway.metrics.count_refusal(&refusal);
             if let Some(team) = &known.team {
-                gateway.tallies.note_refused(team, known.pool_tokens, refusal.reason);
+                gateway.team_counters.note_refused(team, known.pool_tokens, refusal.reason);
             }
             decision(
                 EventKind::RequestRefused,
@@ -145,7 +145,7 @@
                     refusal.ran,
                     refusal.retry_after.unwrap_or_default().as_millis(),
                     gateway.now().saturating_sub(arrived).as_millis(),
-                    gateway.lateness,
+                    gateway.loop_lag,
                     gateway.streams,
                     gateway.version(),
                 ),
@@ -180,7 +180,7 @@
     let Head { catalog, route, team, host } = read_head(gateway, &parts, known)?;
     known.pool_tokens = facts.pool_tokens();
     if let Some(team) = &team {
-        gateway.tallies.note_asked(team, known.pool_tokens);
+        gateway.team_counters.note_asked(team, known.pool_tokens);
     }
     let refusal = match refusal_of_instance(gateway, connection) {
         Some(refusal) => Some(refusal),
@@ -317,7 +317,7 @@
         let run = Run::open(gateway, &placed);
         let placement = placed.placement;
         if let Some(team) = call.team.as_deref().filter(|_| tried.is_empty()) {
-            gateway.tallies.note_sent(team, call.facts.pool_tokens());
+            gateway.team_counters.note_sent(team, call.facts.pool_tokens());
         }
         note_dispatch(&call, &placed, gateway, attempts);
         match attempt(gateway, &call, &placement, &tried, attempts).await {
@@ -345,7 +345,7 @@
                     gateway.note_misdirected(placement.upstream);
                 }
                 // An upstream that turns away what fits by the books is worse than others, too.
-                run.settle(true);
+                run.complete(true);
                 may_have_run |= ran;
             }
         }
@@ -382,11 +382,11 @@
     let bytes = match whole {
         Ok(Ok(bytes)) => bytes,
         Ok(Err(error)) => {
-            run.settle(true);
+            run.complete(true);
             return Err(error);
         }
         Err(_) => {
-            run.settle(true);
+            run.complete(true);
             return Err("its body did not end in time".to_owned());
         }
     };
@@ -394,7 +394,7 @@
         gateway.keep_connection(key, sender, idle);
     }
     let is_failure = parts.status.is_server_error();
-    run.settle(is_failure);
+    run.complete(is_failure);
     if is_failure && may_go_on(gateway, call, attempts + 1, true) {
         return Err(format!("status {}", parts.status));
     }
@@ -487,7 +487,7 @@
     (gateway.now() + patience).min(call.deadline)
 }
 
-fn note_dispatch(call: &Call, placed: &Placed, gateway: &Gateway, attempts: u32) {
+fn note_dispatch(call: &Call, placed: &PlacedRequest, gateway: &Gateway, attempts: u32) {
     let placement = &placed.placement;
     let waited = gateway.now().saturating_sub(call.arrived);
     gateway.metrics.dispatches.inc();
@@ -511,7 +511,7 @@
             placement.rank,
             placement.fetch_from.and_then(|key| gateway.id_of(key)).as_deref().unwrap_or("-"),
             placement.standing,
-            placed.granter.map_or(0, |granter| granter.instance),
+            placed.grantor.map_or(0, |grantor| grantor.instance),
             waited.as_millis(),
             call.catalog.version,
         ),
--- a/crates/bergamotpitch-gateway/src/dispatchers.rs
+++ b/crates/bergamotpitch-gateway/src/dispatchers.rs
@@ -18,51 +18,54 @@
 use tokio::sync::oneshot;
 
 use crate::gateways::Gateway;
-use crate::logs::decision;
-use crate::messages::{AskBody, Body, Held, Note, NoteEvent, Reply, ReplyOutcome, RoomLine};
-use crate::peers::{Peer, SETTLED_TIME};
-
-/// `LOOK_AGAIN_INTERVAL` is the time between two looks at requests that wait for a place: a fiftieth
+use crate::logs;
+use crate::messages::{
+    Body, GrantConfirmation, HeadroomLine, PlacementRequestBody, ProgressEvent, ProgressReport,
+    Reply, ReplyOutcome,
+};
+use crate::peers::{Peer, WARM_UP_TIME};
+
+/// `PLACEMENT_RETRY_INTERVAL` is the time between two looks at requests that wait for a place: a fiftieth
 /// of the shortest target.
-const LOOK_AGAIN_INTERVAL: Duration = Duration::from_millis(8);
+const PLACEMENT_RETRY_INTERVAL: Duration = Duration::from_millis(8);
 
-/// `ROOM_WAIT` is the time to a first event up to which an upstream counts as one with room, as other
+/// `HEADROOM_WAIT_LIMIT` is the time to a first event up to which an upstream counts as one with room, as other
 /// domains are told: the shortest targets of prompts.
-const ROOM_WAIT: Duration = Duration::from_millis(400);
+const HEADROOM_WAIT_LIMIT: Duration = Duration::from_millis(400);
 
-/// `Dispatches` are the requests on which this instance decides, its own and others'.
+/// `LocalPlacements` are the requests on which this instance decides, its own and others'.
 #[derive(Debug, Default)]
-pub struct Dispatches {
+pub struct LocalPlacements {
     waiting: RefCell<WaitingAsks>,
     grants: RefCell<Grants>,
-    replies: RefCell<HashMap<RequestNumber, ReplyTo>>,
+    replies: RefCell<HashMap<RequestNumber, ReplyTarget>>,
     /// What the dispatchers of other domains told of their room, less what was handed on since.
-    rooms: RefCell<HashMap<InstanceId, HashMap<ServiceId, Room>>>,
-    has_changed: Cell<bool>,
-    is_looking: Cell<bool>,
+    headrooms: RefCell<HashMap<InstanceId, HashMap<ServiceId, Room>>>,
+    load_changed: Cell<bool>,
+    is_retrying: Cell<bool>,
     role: Cell<Role>,
 }
 
 #[derive(Debug)]
-enum ReplyTo {
+enum ReplyTarget {
     Own(oneshot::Sender<Choice>),
-    Peer { asker: InstanceId, number: RequestNumber },
+    Peer { requester: InstanceId, number: RequestNumber },
 }
 
-/// `OwnWait` is a request of this instance that waits for its decision; dropping it frees the place
+/// `QueuedRequest` is a request of this instance that waits for its decision; dropping it frees the place
 /// that it may have got meanwhile.
-struct OwnWait<'a> {
+struct QueuedRequest<'a> {
     gateway: &'a Rc<Gateway>,
     number: RequestNumber,
-    choice: oneshot::Receiver<Choice>,
+    decision: oneshot::Receiver<Choice>,
 }
 
-impl Drop for OwnWait<'_> {
+impl Drop for QueuedRequest<'_> {
     fn drop(&mut self) {
-        let dispatches = &self.gateway.dispatches;
-        dispatches.replies.borrow_mut().remove(&self.number);
-        dispatches.waiting.borrow_mut().remove(self.number);
-        if let Ok(Choice::Send(placement)) = self.choice.try_recv() {
+        let local_placements = &self.gateway.local_placements;
+        local_placements.replies.borrow_mut().remove(&self.number);
+        local_placements.waiting.borrow_mut().remove(self.number);
+        if let Ok(Choice::Send(placement)) = self.decision.try_recv() {
             self.gateway.traffic.borrow_mut().load(placement.upstream).ended(self.number);
         }
     }
@@ -71,7 +74,7 @@
 impl Gateway {
     /// `role` returns what this instance does for its domain.
     pub fn role(&self) -> Role {
-        self.dispatches.role.get()
+        self.local_placements.role.get()
     }
 
     /// `is_dispatcher` tells whether this instance decides for its domain.
@@ -82,7 +85,7 @@
     /// `other_dispatcher` returns the instance that should decide on a request, unless it is this one.
     pub(crate) fn other_dispatcher(&self) -> Option<InstanceId> {
         let dispatcher = self.role().dispatcher.filter(|first| *first != self.options.instance)?;
-        self.is_answering(dispatcher).then_some(dispatcher)
+        self.is_responsive(dispatcher).then_some(dispatcher)
     }
 
     /// `scope` returns among which upstreams this instance places requests by itself.
@@ -91,14 +94,14 @@
     }
 
     /// Decides anew what this instance does for its domain.
-    pub(crate) fn note_dispatcher(&self) {
+    pub(crate) fn update_role(&self) {
         let now = self.now();
         let own = Candidate {
             instance: self.options.instance,
             processor_millis: self.options.processor_millis,
             heard: now,
             is_able: self.is_able(),
-            is_settled: SETTLED_TIME <= now,
+            is_settled: WARM_UP_TIME <= now,
         };
         let domain = &self.options.admission.domain;
         let peers = self.peers.borrow();
@@ -110,11 +113,11 @@
         if !self.options.admission.policy.dispatchers {
             role.dispatcher = None;
         }
-        self.dispatches.role.set(role);
+        self.local_placements.role.set(role);
         if role.dispatcher == before.dispatcher {
             return;
         }
-        decision(
+        logs::decision(
             EventKind::DispatcherChanged,
             format_args!(
                 "dispatcher={:?} before={:?} rank={} instances={}",
@@ -132,77 +135,77 @@
 
     /// `is_able` tells whether this instance can be the dispatcher of its domain.
     pub(crate) fn is_able(&self) -> bool {
-        self.knows_all() && !self.is_draining() && self.lateness.keeps_up()
+        self.knows_all() && !self.is_draining() && self.loop_lag.keeps_up()
     }
 
-    /// `place_here` decides on a request of this instance by its own books.
-    pub(crate) fn place_here(&self, number: RequestNumber, ask: &OwnedAsk) -> Choice {
+    /// `place_locally` decides on a request of this instance by its own books.
+    pub(crate) fn place_locally(&self, number: RequestNumber, ask: &OwnedAsk) -> Choice {
         place(number, ask, &mut self.traffic.borrow_mut(), self.now())
     }
 
     /// `decide` does so, and lets the request wait for a place for as long as it may.
     pub(crate) async fn decide(self: &Rc<Self>, number: RequestNumber, ask: OwnedAsk) -> Choice {
         let now = self.now();
-        let choice = self.place_here(number, &ask);
-        if matches!(choice, Choice::Send(_)) || ask.hold_until(&choice) <= now {
-            return choice;
+        let decision = self.place_locally(number, &ask);
+        if matches!(decision, Choice::Send(_)) || ask.hold_until(&decision) <= now {
+            return decision;
         }
         let (sender, receiver) = oneshot::channel();
-        self.wait(number, ask, choice.clone(), ReplyTo::Own(sender));
-        let mut wait = OwnWait { gateway: self, number, choice: receiver };
+        self.enqueue(number, ask, decision.clone(), ReplyTarget::Own(sender));
+        let mut queued = QueuedRequest { gateway: self, number, decision: receiver };
         // The sender is dropped unused when this process ends, and then nobody waits.
-        (&mut wait.choice).await.unwrap_or(choice)
+        (&mut queued.decision).await.unwrap_or(decision)
     }
 
-    fn wait(
+    fn enqueue(
         self: &Rc<Self>,
         number: RequestNumber,
         ask: OwnedAsk,
-        choice: Choice,
-        reply_to: ReplyTo,
+        decision: Choice,
+        reply_to: ReplyTarget,
     ) {
         let now = self.now();
-        self.dispatches.replies.borrow_mut().insert(number, reply_to);
-        self.dispatches.waiting.borrow_mut().wait(number, ask, choice, now);
-        if !self.dispatches.is_looking.replace(true) {
-            tokio::task::spawn_local(look_again(Rc::clone(self)));
+        self.local_placements.replies.borrow_mut().insert(number, reply_to);
+        self.local_placements.waiting.borrow_mut().wait(number, ask, decision, now);
+        if !self.local_placements.is_retrying.replace(true) {
+            tokio::task::spawn_local(retry_waiting_placements(Rc::clone(self)));
         }
     }
 
-    /// `note_change_of_load` lets requests that wait for a place look again soon. Under high load
+    /// `mark_load_changed` lets requests that wait for a place look again soon. Under high load
     /// something changes every few milliseconds and dozens wait; looking at each change took more
     /// time than all else.
-    pub fn note_change_of_load(&self) {
-        self.dispatches.has_changed.set(true);
+    pub fn mark_load_changed(&self) {
+        self.local_placements.load_changed.set(true);
     }
 
     /// `waiting_count` returns how many requests wait for a place here.
     pub fn waiting_count(&self) -> usize {
-        self.dispatches.waiting.borrow().count()
+        self.local_placements.waiting.borrow().count()
     }
 
-    fn look(self: &Rc<Self>) {
+    fn retry_placements(self: &Rc<Self>) {
         let now = self.now();
         let mut traffic = self.traffic.borrow_mut();
-        let mut waiting = self.dispatches.waiting.borrow_mut();
+        let mut waiting = self.local_placements.waiting.borrow_mut();
         let mut decided = waiting.expire(&mut traffic, now);
-        if self.dispatches.has_changed.replace(false) {
+        if self.local_placements.load_changed.replace(false) {
             decided.extend(waiting.look(&mut traffic, now));
         }
         drop((traffic, waiting));
-        for (number, choice) in decided {
-            self.reply(number, choice);
+        for (number, decision) in decided {
+            self.reply(number, decision);
         }
     }
 
-    fn reply(self: &Rc<Self>, own_number: RequestNumber, choice: Choice) {
-        match self.dispatches.replies.borrow_mut().remove(&own_number) {
-            Some(ReplyTo::Own(sender)) => {
+    fn reply(self: &Rc<Self>, own_number: RequestNumber, decision: Choice) {
+        match self.local_placements.replies.borrow_mut().remove(&own_number) {
+            Some(ReplyTarget::Own(sender)) => {
                 // The receiver frees the place when it is dropped, and none is left without one.
-                let _ = sender.send(choice);
+                let _ = sender.send(decision);
             }
-            Some(ReplyTo::Peer { asker, number }) => {
-                self.reply_to_peer(asker, number, own_number, &choice);
+            Some(ReplyTarget::Peer { requester, number }) => {
+                self.reply_to_peer(requester, number, own_number, &decision);
             }
             None => {}
         }
@@ -210,91 +213,98 @@
 
     fn reply_to_peer(
         &self,
-        asker: InstanceId,
+        requester: InstanceId,
         number: RequestNumber,
         own_number: RequestNumber,
-        choice: &Choice,
+        decision: &Choice,
     ) {
-        if let Choice::Send(placement) = choice {
+        if let Choice::Send(placement) = decision {
             let now = self.now();
-            self.dispatches.grants.borrow_mut().note(asker, number, own_number, *placement, now);
+            self.local_placements
+                .grants
+                .borrow_mut()
+                .note(requester, number, own_number, *placement, now);
         }
-        let outcome = ReplyOutcome::new(choice, &self.traffic.borrow().registry);
-        self.send_reply(asker, number, outcome.unwrap_or(ReplyOutcome::Declined));
+        let outcome = ReplyOutcome::new(decision, &self.traffic.borrow().registry);
+        self.send_reply(requester, number, outcome.unwrap_or(ReplyOutcome::Declined));
     }
 
-    fn send_reply(&self, asker: InstanceId, number: RequestNumber, outcome: ReplyOutcome) {
-        if let Some(address) = self.beat_address_of(asker) {
+    fn send_reply(&self, requester: InstanceId, number: RequestNumber, outcome: ReplyOutcome) {
+        if let Some(address) = self.beat_address_of(requester) {
             self.send_message(Body::Reply(Reply { number, outcome }), address);
         }
     }
 
-    /// `take_ask` decides on a request of another instance.
-    pub(crate) fn take_ask(
+    /// `handle_placement_request` decides on a request of another instance.
+    pub(crate) fn handle_placement_request(
         self: &Rc<Self>,
         sender: InstanceId,
         incarnation: Incarnation,
-        body: AskBody,
+        body: PlacementRequestBody,
     ) {
-        let (asker, incarnation) = body.asker.unwrap_or((sender, incarnation));
-        self.take_asker_life(asker, incarnation);
+        let (requester, incarnation) = body.requester.unwrap_or((sender, incarnation));
+        self.update_requester_incarnation(requester, incarnation);
         let number = body.number;
-        if let Some(outcome) = self.outcome_of_repeat(asker, number) {
-            self.send_reply(asker, number, outcome);
+        if let Some(outcome) = self.outcome_of_duplicate(requester, number) {
+            self.send_reply(requester, number, outcome);
             return;
         }
-        let Some(ask) = self.owned_ask(&body).filter(|_| !self.is_draining()) else {
-            self.send_reply(asker, number, ReplyOutcome::Declined);
+        let Some(ask) = self.owned_placement_request(&body).filter(|_| !self.is_draining()) else {
+            self.send_reply(requester, number, ReplyOutcome::Declined);
             return;
         };
         let now = self.now();
-        if body.is_first && body.asker.is_none() {
+        if body.is_first && body.requester.is_none() {
             self.note_asked(&ask, now);
         }
         let own_number = self.fresh_number();
-        let choice = place(own_number, &ask, &mut self.traffic.borrow_mut(), now);
-        if matches!(choice, Choice::Send(_)) {
-            self.reply_to_peer(asker, number, own_number, &choice);
+        let decision = place(own_number, &ask, &mut self.traffic.borrow_mut(), now);
+        if matches!(decision, Choice::Send(_)) {
+            self.reply_to_peer(requester, number, own_number, &decision);
             return;
         }
-        if body.may_go_on
-            && let Some(next) = self.take_room(body.service, &choice)
+        if body.may_forward
+            && let Some(next) = self.reserve_remote_headroom(body.service, &decision)
         {
-            let asker = Some((asker, incarnation));
+            let requester = Some((requester, incarnation));
             self.send_reply(sender, number, ReplyOutcome::Waits);
-            self.hand_on(next, AskBody { asker, may_go_on: false, ..body });
+            self.forward(next, PlacementRequestBody { requester, may_forward: false, ..body });
             return;
         }
-        if ask.hold_until(&choice) <= now {
-            self.reply_to_peer(asker, number, own_number, &choice);
+        if ask.hold_until(&decision) <= now {
+            self.reply_to_peer(requester, number, own_number, &decision);
             return;
         }
-        self.send_reply(asker, number, ReplyOutcome::Waits);
-        self.wait(own_number, ask, choice, ReplyTo::Peer { asker, number });
+        self.send_reply(requester, number, ReplyOutcome::Waits);
+        self.enqueue(own_number, ask, decision, ReplyTarget::Peer { requester, number });
     }
 
-    fn hand_on(&self, next: InstanceId, body: AskBody) {
+    fn forward(&self, next: InstanceId, body: PlacementRequestBody) {
         if let Some(address) = self.beat_address_of(next) {
-            self.send_message(Body::Ask(body), address);
+            self.send_message(Body::PlacementRequest(body), address);
         }
     }
 
     /// The outcome that an ask had already: a reply was lost, or the ask came twice.
-    fn outcome_of_repeat(&self, asker: InstanceId, number: RequestNumber) -> Option<ReplyOutcome> {
-        let grants = self.dispatches.grants.borrow();
-        if let Some(grant) = grants.get(asker, number) {
-            let choice = Choice::Send(grant.placement);
-            return ReplyOutcome::new(&choice, &self.traffic.borrow().registry);
+    fn outcome_of_duplicate(
+        &self,
+        requester: InstanceId,
+        number: RequestNumber,
+    ) -> Option<ReplyOutcome> {
+        let grants = self.local_placements.grants.borrow();
+        if let Some(grant) = grants.get(requester, number) {
+            let decision = Choice::Send(grant.placement);
+            return ReplyOutcome::new(&decision, &self.traffic.borrow().registry);
         }
-        let is_this = |reply: &ReplyTo| {
-            matches!(reply, ReplyTo::Peer { asker: other, number: at }
-                if (*other, *at) == (asker, number))
+        let is_this = |reply: &ReplyTarget| {
+            matches!(reply, ReplyTarget::Peer { requester: other, number: at }
+                if (*other, *at) == (requester, number))
         };
-        let replies = self.dispatches.replies.borrow();
+        let replies = self.local_placements.replies.borrow();
         replies.values().any(is_this).then_some(ReplyOutcome::Waits)
     }
 
-    fn owned_ask(&self, body: &AskBody) -> Option<OwnedAsk> {
+    fn owned_placement_request(&self, body: &PlacementRequestBody) -> Option<OwnedAsk> {
         let catalog = self.catalog()?;
         let service = catalog.service_of_id(body.service)?;
         let engine = service.engine.as_ref();
@@ -326,8 +336,8 @@
         }
     }
 
-    fn take_asker_life(&self, asker: InstanceId, incarnation: Incarnation) {
-        let ended = self.dispatches.grants.borrow_mut().asker_heard(asker, incarnation);
+    fn update_requester_incarnation(&self, requester: InstanceId, incarnation: Incarnation) {
+        let ended = self.local_placements.grants.borrow_mut().asker_heard(requester, incarnation);
         self.end_grants(&ended);
     }
 
@@ -338,32 +348,41 @@
         }
         drop(traffic);
         if !ended.is_empty() {
-            self.note_change_of_load();
+            self.mark_load_changed();
         }
     }
 
-    /// `take_progress` takes in what became of granted requests.
-    pub(crate) fn take_progress(self: &Rc<Self>, asker: InstanceId, notes: &[Note]) {
-        for note in notes {
-            match note.event {
-                NoteEvent::Begun => self.take_begun(asker, note.number),
-                event => self.take_ended(asker, note.number, event),
+    /// `handle_progress` takes in what became of granted requests.
+    pub(crate) fn handle_progress(
+        self: &Rc<Self>,
+        requester: InstanceId,
+        reports: &[ProgressReport],
+    ) {
+        for report in reports {
+            match report.event {
+                ProgressEvent::Begun => self.handle_begun(requester, report.number),
+                event => self.handle_ended(requester, report.number, event),
             }
         }
-        self.note_change_of_load();
+        self.mark_load_changed();
     }
 
-    fn take_begun(&self, asker: InstanceId, number: RequestNumber) {
-        let grants = self.dispatches.grants.borrow();
-        let Some(grant) = grants.get(asker, number) else { return };
+    fn handle_begun(&self, requester: InstanceId, number: RequestNumber) {
+        let grants = self.local_placements.grants.borrow();
+        let Some(grant) = grants.get(requester, number) else { return };
         let key = grant.placement.upstream;
         self.traffic.borrow_mut().begun(key, grant.number, self.now());
         self.note_life(key);
     }
 
-    fn take_ended(self: &Rc<Self>, asker: InstanceId, number: RequestNumber, event: NoteEvent) {
-        let Some(grant) = self.dispatches.grants.borrow_mut().end(asker, number) else {
-            self.drop_waiting(asker, number);
+    fn handle_ended(
+        self: &Rc<Self>,
+        requester: InstanceId,
+        number: RequestNumber,
+        event: ProgressEvent,
+    ) {
+        let Some(grant) = self.local_placements.grants.borrow_mut().end(requester, number) else {
+            self.drop_waiting(requester, number);
             return;
         };
         let now = self.now();
@@ -371,75 +390,83 @@
         let mut traffic = self.traffic.borrow_mut();
         traffic.load(key).ended(grant.number);
         match event {
-            NoteEvent::Answered => {
+            ProgressEvent::Answered => {
                 traffic.evidence(key).note_life(now);
                 traffic.evidence(key).note_outcome(false, now);
             }
-            NoteEvent::Failed => traffic.evidence(key).note_outcome(true, now),
-            NoteEvent::Unreachable => traffic.evidence(key).note_unreachable(now),
-            NoteEvent::Begun | NoteEvent::Dropped => {}
+            ProgressEvent::Failed => traffic.evidence(key).note_outcome(true, now),
+            ProgressEvent::Unreachable => traffic.evidence(key).note_unreachable(now),
+            ProgressEvent::Begun | ProgressEvent::Dropped => {}
         }
     }
 
-    fn drop_waiting(&self, asker: InstanceId, number: RequestNumber) {
-        let mut replies = self.dispatches.replies.borrow_mut();
-        let is_this = |reply: &ReplyTo| {
-            matches!(reply, ReplyTo::Peer { asker: other, number: at }
-                if (*other, *at) == (asker, number))
+    fn drop_waiting(&self, requester: InstanceId, number: RequestNumber) {
+        let mut replies = self.local_placements.replies.borrow_mut();
+        let is_this = |reply: &ReplyTarget| {
+            matches!(reply, ReplyTarget::Peer { requester: other, number: at }
+                if (*other, *at) == (requester, number))
         };
         let own_number = replies.iter().find(|(_, reply)| is_this(reply)).map(|(own, _)| *own);
         if let Some(own_number) = own_number {
             replies.remove(&own_number);
-            self.dispatches.waiting.borrow_mut().remove(own_number);
+            self.local_placements.waiting.borrow_mut().remove(own_number);
         }
     }
 
-    /// `take_held` takes in which grants an asker has in hand.
-    pub(crate) fn take_held(&self, asker: InstanceId, held: &Held) {
+    /// `handle_grant_confirmation` takes in which grants an asker has in hand.
+    pub(crate) fn handle_grant_confirmation(
+        &self,
+        requester: InstanceId,
+        confirmation: &GrantConfirmation,
+    ) {
         let now = self.now();
-        let mut grants = self.dispatches.grants.borrow_mut();
-        held.numbers.iter().for_each(|number| grants.confirm(asker, *number, now));
+        let mut grants = self.local_placements.grants.borrow_mut();
+        confirmation.numbers.iter().for_each(|number| grants.confirm(requester, *number, now));
         let mut traffic = self.traffic.borrow_mut();
-        for (life, silence_ms) in &held.silences {
+        for (life, last_byte_age_ms) in &confirmation.last_byte_ages_ms {
             let Some(key) = traffic.registry.key_of_life(*life) else { continue };
-            let silence = Duration::from_millis((*silence_ms).into());
-            if let Some(heard) = now.checked_sub(silence) {
-                traffic.evidence(key).note_life(heard);
+            let last_byte_age = Duration::from_millis((*last_byte_age_ms).into());
+            if let Some(last_byte) = now.checked_sub(last_byte_age) {
+                traffic.evidence(key).note_life(last_byte);
             }
         }
     }
 
     /// `drop_lapsed_grants` frees places that nobody confirms any more.
     pub(crate) fn drop_lapsed_grants(&self) {
-        let lapsed = self.dispatches.grants.borrow_mut().lapsed(self.now());
+        let lapsed = self.local_placements.grants.borrow_mut().lapsed(self.now());
         if !lapsed.is_empty() {
             log::info!("event=grants_lapsed count={}", lapsed.len());
         }
         self.end_grants(&lapsed);
     }
 
-    /// `own_rooms` returns the room at the upstreams of the own domain.
-    pub(crate) fn own_rooms(&self) -> Vec<RoomLine> {
+    /// `own_headrooms` returns the room at the upstreams of the own domain.
+    pub(crate) fn own_headrooms(&self) -> Vec<HeadroomLine> {
         let Some(catalog) = self.catalog() else { return Vec::new() };
         let now = self.now();
         let traffic = self.traffic.borrow();
         let services = catalog.services.keys();
-        let lines = services.map(|name| RoomLine {
+        let lines = services.map(|name| HeadroomLine {
             service: id_of_name(name),
-            room: traffic.room(name, ROOM_WAIT, now),
+            headroom: traffic.room(name, HEADROOM_WAIT_LIMIT, now),
         });
-        lines.filter(|line| line.room != Room::default()).collect()
+        lines.filter(|line| line.headroom != Room::default()).collect()
     }
 
-    /// `rooms_heard` takes in the room at the upstreams of another domain.
-    pub(crate) fn rooms_heard(&self, dispatcher: InstanceId, lines: &[RoomLine]) {
-        let rooms = lines.iter().map(|line| (line.service, line.room)).collect();
-        self.dispatches.rooms.borrow_mut().insert(dispatcher, rooms);
+    /// `update_remote_headrooms` takes in the room at the upstreams of another domain.
+    pub(crate) fn update_remote_headrooms(&self, dispatcher: InstanceId, lines: &[HeadroomLine]) {
+        let headrooms = lines.iter().map(|line| (line.service, line.headroom)).collect();
+        self.local_placements.headrooms.borrow_mut().insert(dispatcher, headrooms);
     }
 
     /// The dispatcher of another domain that has room for a request that fits nowhere in this one.
-    pub(crate) fn take_room(&self, service: ServiceId, choice: &Choice) -> Option<InstanceId> {
-        let is_within_share = match choice {
+    pub(crate) fn reserve_remote_headroom(
+        &self,
+        service: ServiceId,
+        decision: &Choice,
+    ) -> Option<InstanceId> {
+        let is_within_share = match decision {
             Choice::Full { standing, .. } => {
                 matches!(standing, Standing::WithinShare | Standing::Needy)
             }
@@ -449,12 +476,15 @@
         let now = self.now();
         let peers = self.peers.borrow();
         let near = &self.options.admission.near_domains;
-        let mut rooms = self.dispatches.rooms.borrow_mut();
-        let open = rooms.iter_mut().filter_map(|(instance, rooms)| {
+        let mut headrooms = self.local_placements.headrooms.borrow_mut();
+        let open = headrooms.iter_mut().filter_map(|(instance, headrooms)| {
             let peer = peers.get(instance).filter(|peer| peer.is_dispatching(now))?;
-            let room = rooms.get_mut(&service)?;
-            let count =
-                if is_within_share { &mut room.within_share } else { &mut room.beyond_share };
+            let headroom = headrooms.get_mut(&service)?;
+            let count = if is_within_share {
+                &mut headroom.within_share
+            } else {
+                &mut headroom.beyond_share
+            };
             (0 < *count).then_some((near.contains(&peer.address.domain), *instance, count))
         });
         let (_, next, count) = open.max_by_key(|(is_near, _, count)| (*is_near, **count))?;
@@ -463,10 +493,10 @@
     }
 }
 
-async fn look_again(gateway: Rc<Gateway>) {
+async fn retry_waiting_placements(gateway: Rc<Gateway>) {
     while 0 < gateway.waiting_count() {
-        tokio::time::sleep(LOOK_AGAIN_INTERVAL).await;
-        gateway.look();
+        tokio::time::sleep(PLACEMENT_RETRY_INTERVAL).await;
+        gateway.retry_placements();
     }
-    gateway.dispatches.is_looking.set(false);
+    gateway.local_placements.is_retrying.set(false);
 }
--- a/crates/bergamotpitch-gateway/src/gateways.rs
+++ b/crates/bergamotpitch-gateway/src/gateways.rs
@@ -18,24 +18,24 @@
 use bergamotpitch_core::units::Timestamp;
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 
-use crate::asks::Asks;
-use crate::beats::{self, BEAT_INTERVAL};
 use crate::callers::{self, CallerConnection};
 use crate::calls::Call;
 use crate::connections::{Pools, Sender};
 use crate::dialects::Dialect;
-use crate::dispatchers::Dispatches;
+use crate::dispatchers::LocalPlacements;
 use crate::errors::{Error, Result};
+use crate::heartbeats::{self, HEARTBEAT_INTERVAL};
 use crate::held_bytes::HeldBytes;
-use crate::lateness::Lateness;
 use crate::logs::decision;
+use crate::loop_lags::LoopLag;
 use crate::metrics::Metrics;
 use crate::options::Options;
 use crate::peers::{Peers, UnknownPeers};
 use crate::probes::{self, Port};
+use crate::remote_placements::RemotePlacements;
 use crate::served_streams::ServedStreams;
-use crate::store_news::StoreNews;
-use crate::tallies::Tallies;
+use crate::store_updates::StoreUpdates;
+use crate::team_counters::TeamCounters;
 
 /// `SWEEP_BEATS` is how many beats go by between two sweeps over connections.
 const SWEEP_BEATS: u64 = 4;
@@ -54,13 +54,13 @@
     /// Idle connections to upstreams.
     pub pools: Pools,
     /// Whether this process keeps up.
-    pub lateness: Lateness,
+    pub loop_lag: LoopLag,
     /// Memory that the bodies of requests take.
     pub held_bytes: HeldBytes,
     /// Requests for streams that it has taken on.
     pub streams: ServedStreams,
     /// What teams asked for and were given here lately.
-    pub tallies: Tallies,
+    pub team_counters: TeamCounters,
     /// Counters.
     pub metrics: Metrics,
     /// Peers.
@@ -70,11 +70,11 @@
     /// Instances that tell this one something and are not among its peers.
     pub unknown_peers: UnknownPeers,
     /// What it knows of the platform's store, and by whom.
-    pub store_news: StoreNews,
+    pub store_updates: StoreUpdates,
     /// Requests on which this instance decides, its own and others'.
-    pub dispatches: Dispatches,
+    pub local_placements: LocalPlacements,
     /// Requests of this instance on which others decide.
-    pub asks: Asks,
+    pub remote_placements: RemotePlacements,
     /// Where messages of other instances come in and go out.
     pub datagrams: Rc<UdpSocket>,
     catalog: RefCell<Option<Arc<Catalog>>>,
@@ -126,7 +126,7 @@
         for listener in inner {
             tokio::task::spawn_local(probes::serve(Rc::clone(&gateway), listener, Port::Inner));
         }
-        tokio::task::spawn_local(beats::receive(Rc::clone(&gateway), socket));
+        tokio::task::spawn_local(heartbeats::receive(Rc::clone(&gateway), socket));
         tokio::task::spawn_local(beat(Rc::clone(&gateway)));
         Ok(gateway)
     }
@@ -135,19 +135,19 @@
         Self {
             traffic: RefCell::new(Traffic::new(options.admission.clone())),
             held_bytes: HeldBytes::new(options.body_bytes_max),
-            store_news: StoreNews::new(options.incarnation),
+            store_updates: StoreUpdates::new(options.incarnation),
             options,
             dialect,
             pools: Pools::default(),
-            lateness: Lateness::default(),
+            loop_lag: LoopLag::default(),
             streams: ServedStreams::new(concurrency_limits::Options::default()),
-            tallies: Tallies::default(),
+            team_counters: TeamCounters::default(),
             metrics,
             peers: RefCell::default(),
             told_upstreams: RefCell::default(),
             unknown_peers: UnknownPeers::default(),
-            dispatches: Dispatches::default(),
-            asks: Asks::default(),
+            local_placements: LocalPlacements::default(),
+            remote_placements: RemotePlacements::default(),
             datagrams,
             catalog: RefCell::default(),
             connections: RefCell::default(),
@@ -204,7 +204,7 @@
             ),
         );
         *self.catalog.borrow_mut() = Some(Arc::new(catalog));
-        self.store_news.caught_up();
+        self.store_updates.reset_lag();
         true
     }
 
@@ -318,7 +318,7 @@
 
     /// `is_overloaded` tells whether new requests are refused at once, as this process is late.
     pub fn is_overloaded(&self) -> bool {
-        self.options.admission.policy.lateness_refusals && self.lateness.is_overloaded()
+        self.options.admission.policy.lateness_refusals && self.loop_lag.is_overloaded()
     }
 
     /// `note_asked_in_vain` counts a request that is refused before anybody decides on its place.
@@ -360,7 +360,7 @@
     /// `is_ready` tells whether new callers should come here.
     pub fn is_ready(&self) -> bool {
         let policy = &self.options.admission.policy;
-        let keeps_up = !policy.lateness_readiness || self.lateness.keeps_up();
+        let keeps_up = !policy.lateness_readiness || self.loop_lag.keeps_up();
         self.knows_all() && keeps_up && !self.is_draining.get()
     }
 
@@ -374,7 +374,7 @@
             format_args!(
                 "ready={is_ready} knows_all={} {} connections={} in_flight={} waiting={}",
                 self.knows_all(),
-                self.lateness,
+                self.loop_lag,
                 self.connection_count(),
                 self.in_flight(),
                 self.waiting_count(),
@@ -428,14 +428,14 @@
 async fn beat(gateway: Rc<Gateway>) {
     let mut sequence = 0;
     loop {
-        let due = tokio::time::Instant::now() + BEAT_INTERVAL;
+        let due = tokio::time::Instant::now() + HEARTBEAT_INTERVAL;
         tokio::time::sleep_until(due).await;
-        gateway.lateness.note(due.elapsed());
+        gateway.loop_lag.note(due.elapsed());
         gateway.note_readiness();
-        gateway.write_tallies();
+        gateway.log_team_counters();
         sequence += 1;
-        gateway.note_dispatcher();
-        beats::send_beat(&gateway, sequence);
+        gateway.update_role();
+        heartbeats::send_heartbeat(&gateway, sequence);
         gateway.change_upstreams(|traffic, now| {
             traffic.step(now);
             traffic.registry.step(now)
@@ -444,11 +444,11 @@
             gateway.pools.sweep(gateway.now());
             callers::drop_slow_heads(&gateway);
         }
-        gateway.note_role();
-        gateway.compare_lists();
-        if let Some(peer) = gateway.ahead_peer() {
+        gateway.update_watch_role();
+        gateway.check_list_lag();
+        if let Some(peer) = gateway.peer_to_fetch_from() {
             let gateway = Rc::clone(&gateway);
-            tokio::task::spawn_local(async move { gateway.fetch_news(peer).await });
+            tokio::task::spawn_local(async move { gateway.fetch_updates(peer).await });
         }
     }
 }
--- a/crates/bergamotpitch-gateway/src/beats.rs
+++ b/crates/bergamotpitch-gateway/src/heartbeats.rs
@@ -18,105 +18,106 @@
 use bergamotpitch_core::units::Timestamp;
 use tokio::net::UdpSocket;
 
-use crate::asks::Granter;
 use crate::gateways::Gateway;
 use crate::messages::{
-    Beat, Body, LoadLine, MESSAGE_BYTES, Message, StartLine, TeamLine, decode, encode, millis,
+    Body, Heartbeat, LoadLine, MESSAGE_BYTES, Message, PrefixLine, TeamLine, decode, encode, millis,
 };
 use crate::peers::{Peer, PeerAddress};
+use crate::remote_placements::Grantor;
 
-/// `BEAT_INTERVAL` is the time between two beats to peers of the own domain. Two instances that decide
+/// `HEARTBEAT_INTERVAL` is the time between two beats to peers of the own domain. Two instances that decide
 /// by themselves see the same free place at an engine for about as long as this.
-pub const BEAT_INTERVAL: Duration = Duration::from_millis(120);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(120);
 
-/// `DOMAIN_BEATS` is how many beats go by between two to an instance of the own domain that has a
+/// `DOMAIN_HEARTBEATS` is how many beats go by between two to an instance of the own domain that has a
 /// dispatcher.
-const DOMAIN_BEATS: u64 = 2;
+const DOMAIN_HEARTBEATS: u64 = 2;
 
-/// `REMOTE_BEATS` is how many beats go by between two to other domains, over links that are paid.
-const REMOTE_BEATS: u64 = 3;
+/// `REMOTE_HEARTBEATS` is how many beats go by between two to other domains, over links that are paid.
+const REMOTE_HEARTBEATS: u64 = 3;
 
-/// `STANDBY_BEATS` is the same for an instance that only stands by: it has nothing to tell there but
+/// `STANDBY_HEARTBEATS` is the same for an instance that only stands by: it has nothing to tell there but
 /// that it lives, and which configuration it knows.
-const STANDBY_BEATS: u64 = 9;
+const STANDBY_HEARTBEATS: u64 = 9;
 
-/// `PEERS_A_BEAT` bounds how many peers get one beat where all tell all: a datagram takes some 20
+/// `PEERS_PER_HEARTBEAT` bounds how many peers get one beat where all tell all: a datagram takes some 20
 /// microseconds of a core at each end, of which a small router has an eighth. Larger fleets are told
 /// in turns.
-const PEERS_A_BEAT: usize = 12;
+const PEERS_PER_HEARTBEAT: usize = 12;
 
-/// `LINES_A_PART` bounds the lines in one part of a beat, of up to 23 bytes each.
-const LINES_A_PART: usize = 56;
+/// `LINES_PER_PART` bounds the lines in one part of a beat, of up to 23 bytes each.
+const LINES_PER_PART: usize = 56;
 
-/// `send_beat` sends one beat to the peers that are due.
-pub fn send_beat(gateway: &Gateway, sequence: u64) {
+/// `send_heartbeat` sends one beat to the peers that are due.
+pub fn send_heartbeat(gateway: &Gateway, sequence: u64) {
     gateway.confirm_grants(gateway.now());
     gateway.drop_lapsed_grants();
     if gateway.role().dispatcher.is_none() {
-        let receivers = all_in_turn(gateway, sequence);
-        send_to(gateway, &receivers, || beat_to_all(gateway), sequence);
+        let receivers = round_robin_peers(gateway, sequence);
+        send_to(gateway, &receivers, || heartbeat_to_all(gateway), sequence);
     } else if gateway.role().is_standby {
         send_as_standby(gateway, sequence);
-    } else if sequence.is_multiple_of(DOMAIN_BEATS) {
-        for standby in own_standbys(gateway) {
-            let beat = || beat_to_standby(gateway, standby.instance);
-            send_to(gateway, &[standby.beat_address], beat, sequence);
+    } else if sequence.is_multiple_of(DOMAIN_HEARTBEATS) {
+        for standby in standby_peers(gateway) {
+            let heartbeat = || heartbeat_to_standby(gateway, standby.instance);
+            send_to(gateway, &[standby.beat_address], heartbeat, sequence);
         }
     }
 }
 
 fn send_as_standby(gateway: &Gateway, sequence: u64) {
-    let interval = if gateway.is_dispatcher() { REMOTE_BEATS } else { STANDBY_BEATS };
+    let interval = if gateway.is_dispatcher() { REMOTE_HEARTBEATS } else { STANDBY_HEARTBEATS };
     let is_remote_due = sequence.is_multiple_of(interval);
-    let starts = match gateway.is_dispatcher() && is_remote_due {
-        true => untold_starts(gateway),
+    let prefixes = match gateway.is_dispatcher() && is_remote_due {
+        true => unannounced_prefixes(gateway),
         false => Vec::new(),
     };
-    let standbys = own_standbys(gateway);
+    let standbys = standby_peers(gateway);
     for standby in &standbys {
-        let starts = starts.clone();
-        let beat = || Beat { starts, ..beat_to_standby(gateway, standby.instance) };
-        send_to(gateway, &[standby.beat_address], beat, sequence);
+        let prefixes = prefixes.clone();
+        let heartbeat =
+            || Heartbeat { prefixes, ..heartbeat_to_standby(gateway, standby.instance) };
+        send_to(gateway, &[standby.beat_address], heartbeat, sequence);
     }
-    let others = own_domain(gateway).into_iter();
+    let others = domain_peers(gateway).into_iter();
     let mut others: Vec<PeerAddress> = others.filter(|peer| !standbys.contains(peer)).collect();
     others.sort_by_key(|address| address.instance);
     let due = others
         .iter()
         .enumerate()
-        .filter(|(index, _)| (*index as u64 + sequence).is_multiple_of(DOMAIN_BEATS));
+        .filter(|(index, _)| (*index as u64 + sequence).is_multiple_of(DOMAIN_HEARTBEATS));
     let due: Vec<SocketAddr> = due.map(|(_, peer)| peer.beat_address).collect();
-    send_to(gateway, &due, || beat_to_domain(gateway), sequence);
+    send_to(gateway, &due, || heartbeat_to_domain(gateway), sequence);
     if is_remote_due {
         let remote = remote_deciders(gateway);
-        let beat = || Beat { starts, ..beat_to_dispatchers(gateway) };
-        send_to(gateway, &remote, beat, sequence);
+        let heartbeat = || Heartbeat { prefixes, ..heartbeat_to_dispatchers(gateway) };
+        send_to(gateway, &remote, heartbeat, sequence);
     }
 }
 
 fn send_to(
     gateway: &Gateway,
     receivers: &[SocketAddr],
-    beat: impl FnOnce() -> Beat,
+    heartbeat: impl FnOnce() -> Heartbeat,
     sequence: u64,
 ) {
     if receivers.is_empty() {
         return;
     }
-    let parts = encode_parts(gateway, Beat { sequence, ..beat() });
+    let parts = encode_parts(gateway, Heartbeat { sequence, ..heartbeat() });
     for receiver in receivers {
         parts.iter().for_each(|bytes| gateway.send_datagram(bytes, *receiver));
     }
 }
 
 /// The peers whose turn it is where all tell all: those of the own domain with each beat, the others
-/// with every third, and of both no more than [`PEERS_A_BEAT`] at a time.
-fn all_in_turn(gateway: &Gateway, sequence: u64) -> Vec<SocketAddr> {
-    let mut receivers = turn(own_domain(gateway), sequence);
-    if sequence.is_multiple_of(REMOTE_BEATS) {
+/// with every third, and of both no more than [`PEERS_PER_HEARTBEAT`] at a time.
+fn round_robin_peers(gateway: &Gateway, sequence: u64) -> Vec<SocketAddr> {
+    let mut receivers = round_robin(domain_peers(gateway), sequence);
+    if sequence.is_multiple_of(REMOTE_HEARTBEATS) {
         let peers = gateway.peers.borrow();
         let remote = remote_peers(gateway, &peers.values().collect::<Vec<_>>());
-        receivers.extend(turn(remote, sequence / REMOTE_BEATS));
+        receivers.extend(round_robin(remote, sequence / REMOTE_HEARTBEATS));
     }
     receivers
 }
@@ -140,7 +141,7 @@
     let mut deciders = Vec::new();
     for mut domain in domains.into_values() {
         if gateway.options.admission.policy.dispatchers && options.instances_min <= domain.len() {
-            domain.sort_by_key(|peer| (!peer.is_heard(now), peer.candidate().order()));
+            domain.sort_by_key(|peer| (!peer.is_alive(now), peer.candidate().order()));
             domain.truncate(options.standbys);
         }
         deciders.extend(domain.into_iter().map(|peer| peer.address.clone()));
@@ -149,16 +150,16 @@
 }
 
 /// `own_domain` returns the peers of the own domain.
-pub(crate) fn own_domain(gateway: &Gateway) -> Vec<PeerAddress> {
+pub(crate) fn domain_peers(gateway: &Gateway) -> Vec<PeerAddress> {
     let domain = &gateway.options.admission.domain;
     let peers = gateway.peers.borrow();
     let own = peers.values().filter(|peer| peer.address.domain == *domain);
     own.map(|peer| peer.address.clone()).collect()
 }
 
-/// `own_standbys` returns the peers of the own domain that stand by for its dispatcher, as far as is
+/// `standby_peers` returns the peers of the own domain that stand by for its dispatcher, as far as is
 /// known here.
-pub(crate) fn own_standbys(gateway: &Gateway) -> Vec<PeerAddress> {
+pub(crate) fn standby_peers(gateway: &Gateway) -> Vec<PeerAddress> {
     let domain = &gateway.options.admission.domain;
     let now = gateway.now();
     let peers = gateway.peers.borrow();
@@ -173,90 +174,94 @@
     standbys.map(|peer| peer.address.clone()).collect()
 }
 
-/// `turn_interval` is the time between two beats to one of `count` peers of the own domain.
-pub fn turn_interval(count: usize) -> Duration {
-    let turns = u32::try_from(turns_of(count)).unwrap_or(u32::MAX);
-    BEAT_INTERVAL.saturating_mul(turns)
+/// `round_interval` is the time between two beats to one of `count` peers of the own domain.
+pub fn round_interval(count: usize) -> Duration {
+    let rounds = u32::try_from(rounds_of(count)).unwrap_or(u32::MAX);
+    HEARTBEAT_INTERVAL.saturating_mul(rounds)
 }
 
-fn turns_of(count: usize) -> usize {
-    count.div_ceil(PEERS_A_BEAT).max(1)
+fn rounds_of(count: usize) -> usize {
+    count.div_ceil(PEERS_PER_HEARTBEAT).max(1)
 }
 
-fn turn(mut addresses: Vec<PeerAddress>, round: u64) -> Vec<SocketAddr> {
+fn round_robin(mut addresses: Vec<PeerAddress>, round: u64) -> Vec<SocketAddr> {
     addresses.sort_by_key(|address| address.instance);
-    let turns = turns_of(addresses.len());
-    let current = (round % turns as u64) as usize;
-    let due = addresses.iter().enumerate().filter(|(index, _)| index % turns == current);
+    let rounds = rounds_of(addresses.len());
+    let current = (round % rounds as u64) as usize;
+    let due = addresses.iter().enumerate().filter(|(index, _)| index % rounds == current);
     due.map(|(_, address)| address.beat_address).collect()
 }
 
-fn plain_beat(gateway: &Gateway) -> Beat {
+fn base_heartbeat(gateway: &Gateway) -> Heartbeat {
     let traffic = gateway.traffic.borrow();
     let leaving = traffic.registry.all();
     let leaving = leaving.filter(|upstream| upstream.leaving == Some(LeavingSource::List));
-    Beat {
+    Heartbeat {
         version: gateway.version(),
         list_change: gateway.list_change(),
         watches: !gateway.relies_on_peers(),
-        relay_number: gateway.store_news.relay.borrow().last_number(),
+        relay_number: gateway.store_updates.relay.borrow().last_number(),
         is_able: gateway.is_able(),
         is_dispatcher: gateway.is_dispatcher(),
         counted_ms: u64::try_from(gateway.now().as_millis()).unwrap_or(u64::MAX),
         leaving: leaving.map(|upstream| upstream.life_number).collect(),
-        ..Beat::default()
+        ..Heartbeat::default()
     }
 }
 
 /// Of the starts it tells as many as its last part has room for, the longest first: the shortest are
 /// read again soonest.
-fn beat_to_all(gateway: &Gateway) -> Beat {
-    let mut beat = Beat {
+fn heartbeat_to_all(gateway: &Gateway) -> Heartbeat {
+    let mut heartbeat = Heartbeat {
         loads: load_lines(gateway, &HashMap::default()),
         teams: own_teams(gateway),
-        ..plain_beat(gateway)
+        ..base_heartbeat(gateway)
     };
-    let left = LINES_A_PART - beat.line_count() % LINES_A_PART;
-    beat.starts = start_lines(gateway);
-    beat.starts.sort_by_key(|line| std::cmp::Reverse(line.tokens));
-    beat.starts.truncate(left);
-    beat
+    let left = LINES_PER_PART - heartbeat.line_count() % LINES_PER_PART;
+    heartbeat.prefixes = prefix_lines(gateway);
+    heartbeat.prefixes.sort_by_key(|line| std::cmp::Reverse(line.tokens));
+    heartbeat.prefixes.truncate(left);
+    heartbeat
 }
 
 /// Requests that the receiver granted are in its own books, and those that the dispatcher granted are
 /// told by it.
-fn beat_to_standby(gateway: &Gateway, receiver: InstanceId) -> Beat {
+fn heartbeat_to_standby(gateway: &Gateway, receiver: InstanceId) -> Heartbeat {
     let dispatcher = gateway.role().dispatcher;
-    let is_known = |granter: Granter| {
-        let is_told = [Some(receiver), dispatcher].contains(&Some(granter.instance));
-        is_told && gateway.life_of(granter.instance) == Some(granter.incarnation)
+    let is_known = |grantor: Grantor| {
+        let is_reported = [Some(receiver), dispatcher].contains(&Some(grantor.instance));
+        is_reported && gateway.incarnation_of(grantor.instance) == Some(grantor.incarnation)
     };
     let is_dispatcher = gateway.is_dispatcher();
-    Beat {
+    Heartbeat {
         loads: load_lines(gateway, &gateway.held_figures(is_known)),
         teams: if is_dispatcher { domain_teams(gateway) } else { own_teams(gateway) },
-        elsewhere: if is_dispatcher { elsewhere_teams(gateway) } else { Vec::new() },
-        ..plain_beat(gateway)
+        remote_teams: if is_dispatcher { remote_domain_teams(gateway) } else { Vec::new() },
+        ..base_heartbeat(gateway)
     }
 }
 
-fn beat_to_domain(gateway: &Gateway) -> Beat {
+fn heartbeat_to_domain(gateway: &Gateway) -> Heartbeat {
     if !gateway.is_dispatcher() {
-        return plain_beat(gateway);
+        return base_heartbeat(gateway);
     }
-    Beat {
+    Heartbeat {
         loads: load_lines(gateway, &HashMap::default()),
         teams: domain_teams(gateway),
-        elsewhere: elsewhere_teams(gateway),
-        ..plain_beat(gateway)
+        remote_teams: remote_domain_teams(gateway),
+        ..base_heartbeat(gateway)
     }
 }
 
-fn beat_to_dispatchers(gateway: &Gateway) -> Beat {
+fn heartbeat_to_dispatchers(gateway: &Gateway) -> Heartbeat {
     if !gateway.is_dispatcher() {
-        return plain_beat(gateway);
+        return base_heartbeat(gateway);
+    }
+    Heartbeat {
+        teams: domain_teams(gateway),
+        headrooms: gateway.own_headrooms(),
+        ..base_heartbeat(gateway)
     }
-    Beat { teams: domain_teams(gateway), rooms: gateway.own_rooms(), ..plain_beat(gateway) }
 }
 
 fn load_lines(gateway: &Gateway, others: &HashMap<UpstreamId, Figures>) -> Vec<LoadLine> {
@@ -280,7 +285,7 @@
     teams_with(gateway, true, |peer| gateway.is_of_own_domain(peer))
 }
 
-fn elsewhere_teams(gateway: &Gateway) -> Vec<TeamLine> {
+fn remote_domain_teams(gateway: &Gateway) -> Vec<TeamLine> {
     teams_with(gateway, false, |peer| !gateway.is_of_own_domain(peer))
 }
 
@@ -294,29 +299,29 @@
     sums.into_iter().collect()
 }
 
-fn start_lines(gateway: &Gateway) -> Vec<StartLine> {
+fn prefix_lines(gateway: &Gateway) -> Vec<PrefixLine> {
     let now = gateway.now();
     let mut traffic = gateway.traffic.borrow_mut();
     let notes = traffic.starts.own_notes(now);
     if !traffic.options.policy.start_notes {
         return Vec::new();
     }
-    lines_of_starts(&notes, now)
+    lines_of_prefixes(&notes, now)
 }
 
-fn untold_starts(gateway: &Gateway) -> Vec<StartLine> {
+fn unannounced_prefixes(gateway: &Gateway) -> Vec<PrefixLine> {
     let now = gateway.now();
     let mut traffic = gateway.traffic.borrow_mut();
     let notes = traffic.starts.take_untold(now);
     if !traffic.options.policy.start_notes {
         return Vec::new();
     }
-    lines_of_starts(&notes, now)
+    lines_of_prefixes(&notes, now)
 }
 
-fn lines_of_starts(notes: &[StartNote], now: Timestamp) -> Vec<StartLine> {
-    let lines = notes.iter().map(|note| StartLine {
-        start: note.start,
+fn lines_of_prefixes(notes: &[StartNote], now: Timestamp) -> Vec<PrefixLine> {
+    let lines = notes.iter().map(|note| PrefixLine {
+        prefix: note.start,
         tokens: note.tokens,
         upstream: note.upstream,
         age_ms: millis(now.saturating_sub(note.used)),
@@ -325,31 +330,31 @@
 }
 
 /// Writes a beat as one datagram or several.
-fn encode_parts(gateway: &Gateway, beat: Beat) -> Vec<Vec<u8>> {
+fn encode_parts(gateway: &Gateway, heartbeat: Heartbeat) -> Vec<Vec<u8>> {
     let (instance, incarnation) = (gateway.options.instance, gateway.options.incarnation);
-    let messages = split(beat).into_iter().map(|part| Message {
+    let messages = split(heartbeat).into_iter().map(|part| Message {
         instance,
         incarnation,
-        body: Body::Beat(part),
+        body: Body::Heartbeat(part),
     });
     messages.filter_map(|message| encode(&message)).collect()
 }
 
-fn split(mut beat: Beat) -> Vec<Beat> {
+fn split(mut heartbeat: Heartbeat) -> Vec<Heartbeat> {
     let mut parts = Vec::new();
     loop {
-        let mut left = LINES_A_PART;
-        let part = Beat {
-            loads: take_lines(&mut beat.loads, &mut left),
-            teams: take_lines(&mut beat.teams, &mut left),
-            elsewhere: take_lines(&mut beat.elsewhere, &mut left),
-            leaving: take_lines(&mut beat.leaving, &mut left),
-            rooms: take_lines(&mut beat.rooms, &mut left),
-            starts: take_lines(&mut beat.starts, &mut left),
-            ..beat.clone()
+        let mut left = LINES_PER_PART;
+        let part = Heartbeat {
+            loads: take_lines(&mut heartbeat.loads, &mut left),
+            teams: take_lines(&mut heartbeat.teams, &mut left),
+            remote_teams: take_lines(&mut heartbeat.remote_teams, &mut left),
+            leaving: take_lines(&mut heartbeat.leaving, &mut left),
+            headrooms: take_lines(&mut heartbeat.headrooms, &mut left),
+            prefixes: take_lines(&mut heartbeat.prefixes, &mut left),
+            ..heartbeat.clone()
         };
         parts.push(part);
-        if beat.line_count() == 0 {
+        if heartbeat.line_count() == 0 {
             break;
         }
     }
@@ -380,7 +385,7 @@
             }
         };
         match decode(&buffer[..length]) {
-            Ok(message) => take_in(&gateway, message, sender),
+            Ok(message) => handle_message(&gateway, message, sender),
             Err(error) => {
                 log::info!("event=302 name=message_dropped peer={sender} error={error:?}");
             }
@@ -388,61 +393,72 @@
     }
 }
 
-fn take_in(gateway: &Rc<Gateway>, message: Message, sender: SocketAddr) {
+fn handle_message(gateway: &Rc<Gateway>, message: Message, sender: SocketAddr) {
     let Message { instance, incarnation, body } = message;
     let known = gateway.peers.borrow().get(&instance).map(|peer| peer.address.beat_address);
     if known != Some(sender) {
-        gateway.unknown_peers.heard(instance);
+        gateway.unknown_peers.record(instance);
         return;
     }
     match body {
-        Body::Beat(beat) => take_in_part(gateway, instance, incarnation, beat),
-        Body::Ask(body) => gateway.take_ask(instance, incarnation, body),
-        Body::Reply(reply) => gateway.take_reply(Granter { instance, incarnation }, &reply),
-        Body::Progress(notes) => gateway.take_progress(instance, &notes),
-        Body::Held(held) => gateway.take_held(instance, &held),
+        Body::Heartbeat(heartbeat) => {
+            handle_heartbeat_part(gateway, instance, incarnation, heartbeat)
+        }
+        Body::PlacementRequest(body) => {
+            gateway.handle_placement_request(instance, incarnation, body)
+        }
+        Body::Reply(reply) => gateway.handle_reply(Grantor { instance, incarnation }, &reply),
+        Body::Progress(reports) => gateway.handle_progress(instance, &reports),
+        Body::GrantConfirmation(confirmation) => {
+            gateway.handle_grant_confirmation(instance, &confirmation)
+        }
     }
 }
 
 /// Takes in one part of a beat; a beat of which a part is lost counts as lost.
-fn take_in_part(gateway: &Gateway, instance: InstanceId, incarnation: Incarnation, beat: Beat) {
+fn handle_heartbeat_part(
+    gateway: &Gateway,
+    instance: InstanceId,
+    incarnation: Incarnation,
+    heartbeat: Heartbeat,
+) {
     let mut peers = gateway.peers.borrow_mut();
     let Some(peer) = peers.get_mut(&instance) else { return };
-    if (incarnation, beat.sequence) <= peer.latest {
+    if (incarnation, heartbeat.sequence) <= peer.latest {
         return;
     }
-    let Some(beat) = peer.parts.add(incarnation, beat) else { return };
+    let Some(heartbeat) = peer.parts.add(incarnation, heartbeat) else { return };
     if peer.latest.0 != incarnation {
         log::info!("event=300 name=peer_joined peer={instance} incarnation={incarnation}");
     }
     let now = gateway.now();
-    peer.take_in(incarnation, &beat, now);
+    peer.update(incarnation, &heartbeat, now);
     drop(peers);
-    take_in_tables(gateway, instance, &beat, now);
+    apply_heartbeat(gateway, instance, &heartbeat, now);
 }
 
-fn take_in_tables(gateway: &Gateway, instance: InstanceId, beat: &Beat, now: Timestamp) {
-    let figures = beat.loads.iter().map(|line| (line.upstream, line.figures())).collect();
-    gateway.take_in_loads(instance, &figures, now);
-    gateway.take_in_leaving(&beat.leaving);
-    gateway.take_in_starts(&beat.starts, now);
-    let counted = Duration::from_millis(beat.counted_ms);
+fn apply_heartbeat(gateway: &Gateway, instance: InstanceId, heartbeat: &Heartbeat, now: Timestamp) {
+    let figures = heartbeat.loads.iter().map(|line| (line.upstream, line.figures())).collect();
+    gateway.update_peer_loads(instance, &figures, now);
+    gateway.mark_leaving_upstreams(&heartbeat.leaving);
+    gateway.update_prefixes(&heartbeat.prefixes, now);
+    let counted = Duration::from_millis(heartbeat.counted_ms);
     let mut traffic = gateway.traffic.borrow_mut();
-    traffic.windows.peer_told(instance, beat.teams.iter().copied(), counted, now);
-    if beat.is_dispatcher && gateway.is_of_own_domain(instance) {
-        traffic.windows.elsewhere_heard(beat.elsewhere.iter().copied(), counted, now);
+    traffic.windows.peer_told(instance, heartbeat.teams.iter().copied(), counted, now);
+    if heartbeat.is_dispatcher && gateway.is_of_own_domain(instance) {
+        traffic.windows.elsewhere_heard(heartbeat.remote_teams.iter().copied(), counted, now);
     }
     drop(traffic);
-    if beat.is_dispatcher && !gateway.is_of_own_domain(instance) {
-        gateway.remote_dispatcher_heard(instance, beat);
+    if heartbeat.is_dispatcher && !gateway.is_of_own_domain(instance) {
+        gateway.update_remote_dispatcher(instance, heartbeat);
     }
 }
 
 impl Gateway {
     /// Takes in what the dispatcher of another domain tells. Of one domain only the latest dispatcher
     /// counts: the one before told of the same requests.
-    fn remote_dispatcher_heard(&self, dispatcher: InstanceId, beat: &Beat) {
-        self.rooms_heard(dispatcher, &beat.rooms);
+    fn update_remote_dispatcher(&self, dispatcher: InstanceId, heartbeat: &Heartbeat) {
+        self.update_remote_headrooms(dispatcher, &heartbeat.headrooms);
         let mut traffic = self.traffic.borrow_mut();
         traffic.windows.forget_elsewhere();
         let peers = self.peers.borrow();
@@ -459,11 +475,11 @@
         peers.get(&peer).is_some_and(|peer| peer.address.domain == self.options.admission.domain)
     }
 
-    fn take_in_starts(&self, lines: &[StartLine], now: Timestamp) {
+    fn update_prefixes(&self, lines: &[PrefixLine], now: Timestamp) {
         let mut traffic = self.traffic.borrow_mut();
         for line in lines {
             let used = now.saturating_sub(Duration::from_millis(line.age_ms.into()));
-            let StartLine { start, tokens, upstream, .. } = *line;
+            let PrefixLine { prefix: start, tokens, upstream, .. } = *line;
             traffic.starts.heard(StartNote { start, tokens, upstream, used });
         }
     }
--- a/crates/bergamotpitch-gateway/src/lib.rs
+++ b/crates/bergamotpitch-gateway/src/lib.rs
@@ -9,8 +9,6 @@
 //! reads and writes headers, and whoever starts the gateway hands it catalogs, upstreams and peers.
 
 pub mod arrivals;
-pub mod asks;
-pub mod beats;
 pub mod bodies;
 pub mod callers;
 pub mod calls;
@@ -22,9 +20,10 @@
 pub mod exchanges;
 pub mod gateways;
 pub mod headers;
+pub mod heartbeats;
 pub mod held_bytes;
-pub mod lateness;
 pub mod logs;
+pub mod loop_lags;
 pub mod messages;
 pub mod metrics;
 pub mod options;
@@ -33,10 +32,11 @@
 pub mod probes;
 pub mod refusals;
 pub mod relays;
+pub mod remote_placements;
 pub mod served_streams;
 pub mod sse;
-pub mod store_news;
-pub mod tallies;
+pub mod store_updates;
+pub mod team_counters;
 pub mod upstreams;
 pub mod watched_streams;
 
--- a/crates/bergamotpitch-gateway/src/lateness.rs
+++ b/crates/bergamotpitch-gateway/src/loop_lags.rs
@@ -8,67 +8,67 @@
 use std::fmt;
 use std::time::Duration;
 
-/// `OVERLOAD_LATENESS` is how late a timer may be before new requests are refused: the processor is
+/// `OVERLOAD_LAG` is how late a timer may be before new requests are refused: the processor is
 /// behind, each further request makes all others later, and another instance may have time. A request
 /// meets it some four times before its first event, and the shortest targets are 150 to 400 ms.
-const OVERLOAD_LATENESS: Duration = Duration::from_millis(100);
+const OVERLOAD_LAG: Duration = Duration::from_millis(100);
 
-/// `UNREADY_LATENESS` is how late timers may be over seconds before new callers are sent elsewhere.
+/// `UNREADY_LAG` is how late timers may be over seconds before new callers are sent elsewhere.
 /// All callers of a flooding team may reach one instance with little processor time. Until it is left
 /// by some of them, the team gets less than one with callers at many instances.
-const UNREADY_LATENESS: Duration = Duration::from_millis(30);
+const UNREADY_LAG: Duration = Duration::from_millis(30);
 
-/// `LATENESS_GAIN` is the weight of one timer's lateness against those before.
-const LATENESS_GAIN: f64 = 0.4;
+/// `QUICK_LAG_GAIN` is the weight of one timer's lateness against those before.
+const QUICK_LAG_GAIN: f64 = 0.4;
 
-/// `SLOW_LATENESS_GAIN` is the weight of one timer's lateness for [`UNREADY_LATENESS`]: the mean of
+/// `SLOW_LAG_GAIN` is the weight of one timer's lateness for [`UNREADY_LAG`]: the mean of
 /// about the last two seconds.
-const SLOW_LATENESS_GAIN: f64 = 0.06;
+const SLOW_LAG_GAIN: f64 = 0.06;
 
-/// `Lateness` follows how late timers fire.
+/// `LoopLag` follows how late timers fire.
 #[derive(Debug, Default)]
-pub struct Lateness {
+pub struct LoopLag {
     quick: Cell<Duration>,
     slow: Cell<Duration>,
 }
 
-impl Lateness {
+impl LoopLag {
     /// `note` takes in how late one timer was.
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bergamotpitch_gateway::lateness::Lateness;
+    /// use bergamotpitch_gateway::loop_lags::LoopLag;
     ///
-    /// let lateness = Lateness::default();
-    /// lateness.note(Duration::from_millis(400));
-    /// assert!(lateness.is_overloaded() && lateness.keeps_up());
-    /// (0..3).for_each(|_| lateness.note(Duration::from_millis(400)));
-    /// assert!(!lateness.keeps_up());
+    /// let loop_lag = LoopLag::default();
+    /// loop_lag.note(Duration::from_millis(400));
+    /// assert!(loop_lag.is_overloaded() && loop_lag.keeps_up());
+    /// (0..3).for_each(|_| loop_lag.note(Duration::from_millis(400)));
+    /// assert!(!loop_lag.keeps_up());
     /// ```
-    pub fn note(&self, late: Duration) {
-        self.quick.set(mean(self.quick.get(), late, LATENESS_GAIN));
-        self.slow.set(mean(self.slow.get(), late, SLOW_LATENESS_GAIN));
+    pub fn note(&self, lag: Duration) {
+        self.quick.set(mean(self.quick.get(), lag, QUICK_LAG_GAIN));
+        self.slow.set(mean(self.slow.get(), lag, SLOW_LAG_GAIN));
     }
 
     /// `is_overloaded` tells whether new requests should be refused at once.
     pub fn is_overloaded(&self) -> bool {
-        OVERLOAD_LATENESS < self.quick.get()
+        OVERLOAD_LAG < self.quick.get()
     }
 
     /// `keeps_up` tells whether new callers may be sent here.
     pub fn keeps_up(&self) -> bool {
-        self.slow.get() < UNREADY_LATENESS
+        self.slow.get() < UNREADY_LAG
     }
 }
 
-impl fmt::Display for Lateness {
+impl fmt::Display for LoopLag {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (quick, slow) = (self.quick.get().as_millis(), self.slow.get().as_millis());
         write!(formatter, "late_quick_ms={quick} late_slow_ms={slow}")
     }
 }
 
-fn mean(before: Duration, late: Duration, gain: f64) -> Duration {
-    before.mul_f64(1.0 - gain) + late.mul_f64(gain)
+fn mean(before: Duration, lag: Duration, gain: f64) -> Duration {
+    before.mul_f64(1.0 - gain) + lag.mul_f64(gain)
 }
--- a/crates/bergamotpitch-gateway/src/messages.rs
+++ b/crates/bergamotpitch-gateway/src/messages.rs
@@ -42,20 +42,20 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Body {
     /// Sums, a few times a second.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// A request wants a place.
-    Ask(AskBody),
+    PlacementRequest(PlacementRequestBody),
     /// Its place, or that there is none.
     Reply(Reply),
     /// What became of granted requests.
-    Progress(Vec<Note>),
+    Progress(Vec<ProgressReport>),
     /// Which granted requests are in hand.
-    Held(Held),
+    GrantConfirmation(GrantConfirmation),
 }
 
-/// `Beat` is what one instance tells of itself.
+/// `Heartbeat` is what one instance tells of itself.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Number of the beat within this life.
     pub sequence: u64,
     /// Number of this part of the beat.
@@ -81,24 +81,24 @@
     /// What its teams asked and began; those of its whole domain when it is the dispatcher.
     pub teams: Vec<TeamLine>,
     /// What teams asked and began in all other domains, as a dispatcher tells its own domain.
-    pub elsewhere: Vec<TeamLine>,
+    pub remote_teams: Vec<TeamLine>,
     /// Upstreams, by the numbers of their lives, of which it knows that they leave.
     pub leaving: Vec<UpstreamId>,
     /// Where starts of prompts were sent lately.
-    pub starts: Vec<StartLine>,
+    pub prefixes: Vec<PrefixLine>,
     /// Room at the upstreams of a dispatcher.
-    pub rooms: Vec<RoomLine>,
+    pub headrooms: Vec<HeadroomLine>,
 }
 
-impl Beat {
+impl Heartbeat {
     /// `append` adds the tables of another part of the same beat.
     pub(crate) fn append(&mut self, part: Self) {
         self.loads.extend(part.loads);
         self.teams.extend(part.teams);
-        self.elsewhere.extend(part.elsewhere);
+        self.remote_teams.extend(part.remote_teams);
         self.leaving.extend(part.leaving);
-        self.starts.extend(part.starts);
-        self.rooms.extend(part.rooms);
+        self.prefixes.extend(part.prefixes);
+        self.headrooms.extend(part.headrooms);
     }
 
     /// `line_count` returns how many lines its tables have.
@@ -106,10 +106,10 @@
         let tables = [
             self.loads.len(),
             self.teams.len(),
-            self.elsewhere.len(),
+            self.remote_teams.len(),
             self.leaving.len(),
-            self.starts.len(),
-            self.rooms.len(),
+            self.prefixes.len(),
+            self.headrooms.len(),
         ];
         tables.iter().sum()
     }
@@ -128,11 +128,11 @@
 /// `TeamLine` is one team's sums.
 pub type TeamLine = (TeamId, TeamCounts);
 
-/// `StartLine` tells that an engine was sent a prompt with a start.
+/// `PrefixLine` tells that an engine was sent a prompt with a start.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct StartLine {
+pub struct PrefixLine {
     /// The start, by its last part.
-    pub start: PartId,
+    pub prefix: PartId,
     /// Its length.
     pub tokens: u32,
     /// Number of the engine's life.
@@ -141,26 +141,26 @@
     pub age_ms: u32,
 }
 
-/// `RoomLine` is the room at a domain's upstreams of one service.
+/// `HeadroomLine` is the room at a domain's upstreams of one service.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct RoomLine {
+pub struct HeadroomLine {
     /// The service.
     pub service: ServiceId,
     /// For how many more requests there is a place.
-    pub room: Room,
+    pub headroom: Room,
 }
 
-/// `AskBody` is a request that wants a place.
+/// `PlacementRequestBody` is a request that wants a place.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct AskBody {
+pub struct PlacementRequestBody {
     /// The asker's number of the request.
     pub number: RequestNumber,
     /// Whether it is the first ask for this request; later ones are not counted again.
     pub is_first: bool,
     /// Who wants it, with its life, when another instance hands the ask on.
-    pub asker: Option<(InstanceId, Incarnation)>,
+    pub requester: Option<(InstanceId, Incarnation)>,
     /// Whether it may be handed on to the dispatcher of another domain.
-    pub may_go_on: bool,
+    pub may_forward: bool,
     /// Service that it is for.
     pub service: ServiceId,
     /// Its team.
@@ -181,7 +181,7 @@
     pub tried: Vec<UpstreamId>,
 }
 
-impl AskBody {
+impl PlacementRequestBody {
     /// `facts` returns what a decision needs to know of the request.
     pub fn facts(&self) -> RequestFacts {
         let parts = self.parts.iter().map(|(id, tokens)| PromptPart { id: *id, tokens: *tokens });
@@ -242,18 +242,18 @@
     fetch_from: Option<UpstreamId>,
 }
 
-/// `Note` is what became of one granted request.
+/// `ProgressReport` is what became of one granted request.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Note {
+pub struct ProgressReport {
     /// The asker's number of the request.
     pub number: RequestNumber,
     /// What became of it.
-    pub event: NoteEvent,
+    pub event: ProgressEvent,
 }
 
-/// `NoteEvent` is what became of a granted request.
+/// `ProgressEvent` is what became of a granted request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NoteEvent {
+pub enum ProgressEvent {
     /// Its first event or its answer came.
     Begun,
     /// It ended well.
@@ -266,13 +266,13 @@
     Dropped,
 }
 
-/// `Held` tells which granted requests are in hand, and how long their upstreams have been silent.
+/// `GrantConfirmation` tells which granted requests are in hand, and how long their upstreams have been silent.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct GrantConfirmation {
     /// The asker's numbers of the requests.
     pub numbers: Vec<RequestNumber>,
     /// Upstreams that run some of them, with the time since the last byte of each.
-    pub silences: Vec<(UpstreamId, u32)>,
+    pub last_byte_ages_ms: Vec<(UpstreamId, u32)>,
 }
 
 /// `MessageError` tells why a datagram is no message.
@@ -355,16 +355,16 @@
 impl GrantLine {
     /// `new` tells of a placement; `None` when its upstream was forgotten meanwhile.
     pub fn new(placement: &Placement, registry: &Registry) -> Option<Self> {
-        let life_of = |key| registry.get(key).map(|upstream| upstream.life_number);
+        let incarnation_of = |key| registry.get(key).map(|upstream| upstream.life_number);
         Some(Self {
-            upstream: life_of(placement.upstream)?,
+            upstream: incarnation_of(placement.upstream)?,
             unread_tokens: placement.work.unread_tokens as u32,
             memory_tokens: placement.work.memory_tokens,
             delay_ms: placement.work.delay_ms as u32,
             predicted_ms: millis(placement.predicted),
             requests: placement.requests,
             standing: placement.standing,
-            fetch_from: placement.fetch_from.and_then(life_of),
+            fetch_from: placement.fetch_from.and_then(incarnation_of),
         })
     }
 
@@ -393,8 +393,8 @@
 
 impl ReplyOutcome {
     /// `new` tells of a choice; `None` when its upstream was forgotten meanwhile.
-    pub fn new(choice: &Choice, registry: &Registry) -> Option<Self> {
-        Some(match choice {
+    pub fn new(decision: &Choice, registry: &Registry) -> Option<Self> {
+        Some(match decision {
             Choice::Send(placement) => Self::Granted(GrantLine::new(placement, registry)?),
             Choice::Full { after, standing, least_requests } => Self::Full {
                 after_ms: millis(*after),
--- a/crates/bergamotpitch-gateway/src/peers.rs
+++ b/crates/bergamotpitch-gateway/src/peers.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Notify;
 
 use crate::gateways::Gateway;
-use crate::messages::Beat;
+use crate::messages::Heartbeat;
 
 /// `PeerAddress` is where a peer is found.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -30,17 +30,17 @@
     pub processor_millis: u32,
 }
 
-/// `PEER_SILENCE` is the time after which a peer that was not heard is not counted on: some of its
+/// `PEER_TIMEOUT` is the time after which a peer that was not heard is not counted on: some of its
 /// turns in a large fleet.
-pub(crate) const PEER_SILENCE: Duration = Duration::from_secs(5);
+pub(crate) const PEER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// `DISPATCHER_SILENCE` is the same for the dispatcher of another domain, which tells of itself each
+/// `DISPATCHER_TIMEOUT` is the same for the dispatcher of another domain, which tells of itself each
 /// third of a second.
-const DISPATCHER_SILENCE: Duration = Duration::from_millis(1_500);
+const DISPATCHER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// `SETTLED_TIME` is for how long an instance must have run before it goes before others that have:
+/// `WARM_UP_TIME` is for how long an instance must have run before it goes before others that have:
 /// it learns in this time what its upstreams keep and how fast they are.
-pub(crate) const SETTLED_TIME: Duration = Duration::from_secs(5);
+pub(crate) const WARM_UP_TIME: Duration = Duration::from_secs(5);
 
 /// `Peer` is a peer as it was last heard.
 #[derive(Debug, Clone)]
@@ -49,10 +49,10 @@
     pub address: PeerAddress,
     /// Its life and the number of its latest beat.
     pub(crate) latest: (Incarnation, u64),
-    pub(crate) parts: BeatParts,
+    pub(crate) parts: HeartbeatParts,
     listed: Timestamp,
     /// When it was heard.
-    pub heard: Option<Timestamp>,
+    pub last_seen: Option<Timestamp>,
     /// Version of its configuration.
     pub version: CatalogVersion,
     /// Revision of the latest change of the list of upstreams that it has seen.
@@ -72,9 +72,9 @@
         Self {
             address,
             latest: (0, 0),
-            parts: BeatParts::default(),
+            parts: HeartbeatParts::default(),
             listed: now,
-            heard: None,
+            last_seen: None,
             version: 0,
             list_change: 0,
             watches: false,
@@ -90,27 +90,33 @@
         self.latest.0
     }
 
-    /// `take_in` takes in a beat.
-    pub(crate) fn take_in(&mut self, incarnation: Incarnation, beat: &Beat, now: Timestamp) {
-        self.latest = (incarnation, beat.sequence);
-        self.heard = Some(now);
-        self.version = beat.version;
-        self.list_change = beat.list_change;
-        self.watches = beat.watches;
-        self.relay_number = beat.relay_number;
-        self.is_able = beat.is_able;
-        self.is_dispatcher = beat.is_dispatcher;
-        self.counted = Duration::from_millis(beat.counted_ms);
+    /// `update` takes in a beat.
+    pub(crate) fn update(
+        &mut self,
+        incarnation: Incarnation,
+        heartbeat: &Heartbeat,
+        now: Timestamp,
+    ) {
+        self.latest = (incarnation, heartbeat.sequence);
+        self.last_seen = Some(now);
+        self.version = heartbeat.version;
+        self.list_change = heartbeat.list_change;
+        self.watches = heartbeat.watches;
+        self.relay_number = heartbeat.relay_number;
+        self.is_able = heartbeat.is_able;
+        self.is_dispatcher = heartbeat.is_dispatcher;
+        self.counted = Duration::from_millis(heartbeat.counted_ms);
     }
 
-    /// `is_heard` tells whether it was heard lately.
-    pub(crate) fn is_heard(&self, now: Timestamp) -> bool {
-        self.heard.is_some_and(|heard| now < heard + PEER_SILENCE)
+    /// `is_alive` tells whether it was heard lately.
+    pub(crate) fn is_alive(&self, now: Timestamp) -> bool {
+        self.last_seen.is_some_and(|last_seen| now < last_seen + PEER_TIMEOUT)
     }
 
     /// `is_dispatching` tells whether it decides for its domain.
     pub(crate) fn is_dispatching(&self, now: Timestamp) -> bool {
-        self.is_dispatcher && self.heard.is_some_and(|heard| now < heard + DISPATCHER_SILENCE)
+        self.is_dispatcher
+            && self.last_seen.is_some_and(|last_seen| now < last_seen + DISPATCHER_TIMEOUT)
     }
 
     /// `candidate` returns what counts for its role in its domain.
@@ -118,29 +124,29 @@
         Candidate {
             instance: self.address.instance,
             processor_millis: self.address.processor_millis,
-            heard: self.heard.unwrap_or(self.listed),
+            heard: self.last_seen.unwrap_or(self.listed),
             is_able: self.is_able,
-            is_settled: SETTLED_TIME <= self.counted,
+            is_settled: WARM_UP_TIME <= self.counted,
         }
     }
 }
 
-/// `BeatParts` gathers the parts of one beat.
+/// `HeartbeatParts` gathers the parts of one beat.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct BeatParts {
-    of: (Incarnation, u64),
-    parts: Vec<Beat>,
+pub(crate) struct HeartbeatParts {
+    heartbeat_id: (Incarnation, u64),
+    parts: Vec<Heartbeat>,
 }
 
-impl BeatParts {
+impl HeartbeatParts {
     /// `add` takes in one part, and returns the beat once all of them are here.
-    pub(crate) fn add(&mut self, incarnation: Incarnation, part: Beat) -> Option<Beat> {
-        let of = (incarnation, part.sequence);
-        if of < self.of {
+    pub(crate) fn add(&mut self, incarnation: Incarnation, part: Heartbeat) -> Option<Heartbeat> {
+        let heartbeat_id = (incarnation, part.sequence);
+        if heartbeat_id < self.heartbeat_id {
             return None;
         }
-        if self.of < of {
-            self.of = of;
+        if self.heartbeat_id < heartbeat_id {
+            self.heartbeat_id = heartbeat_id;
             self.parts.clear();
         }
         if self.parts.iter().any(|other| other.part == part.part) {
@@ -166,28 +172,28 @@
 /// for that long as if they were alone.
 #[derive(Debug, Default)]
 pub struct UnknownPeers {
-    heard: RefCell<HashSet<InstanceId>>,
-    first_heard: Notify,
+    seen: RefCell<HashSet<InstanceId>>,
+    first_seen: Notify,
 }
 
 impl UnknownPeers {
     /// `heard` takes in a beat of an instance that is not among the peers.
-    pub fn heard(&self, instance: InstanceId) {
-        let mut heard = self.heard.borrow_mut();
-        if heard.len() < UNKNOWN_PEERS_MAX && heard.insert(instance) {
-            self.first_heard.notify_one();
+    pub fn record(&self, instance: InstanceId) {
+        let mut seen = self.seen.borrow_mut();
+        if seen.len() < UNKNOWN_PEERS_MAX && seen.insert(instance) {
+            self.first_seen.notify_one();
         }
     }
 
     /// `wait` returns when one was heard for the first time; one that no reading of the list finds is
     /// waited for again only after [`UnknownPeers::forget`].
     pub async fn wait(&self) {
-        self.first_heard.notified().await;
+        self.first_seen.notified().await;
     }
 
     /// `forget` lets each of them count as heard for the first time again.
     pub fn forget(&self) {
-        self.heard.borrow_mut().clear();
+        self.seen.borrow_mut().clear();
     }
 }
 
@@ -201,8 +207,8 @@
         let others: Vec<_> =
             addresses.into_iter().filter(|address| address.instance != own).collect();
         replace_peers(&mut self.peers.borrow_mut(), others, self.now());
-        self.note_dispatcher();
-        self.note_listed();
+        self.update_role();
+        self.note_peers_listed();
     }
 
     /// `beat_address_of` returns where a peer's messages go.
@@ -210,8 +216,8 @@
         self.peers.borrow().get(&peer).map(|peer| peer.address.beat_address)
     }
 
-    /// `life_of` returns the life of a peer that was heard last.
-    pub(crate) fn life_of(&self, peer: InstanceId) -> Option<Incarnation> {
+    /// `incarnation_of` returns the life of a peer that was heard last.
+    pub(crate) fn incarnation_of(&self, peer: InstanceId) -> Option<Incarnation> {
         self.peers.borrow().get(&peer).map(Peer::incarnation)
     }
 }
--- a/crates/bergamotpitch-gateway/src/placements.rs
+++ b/crates/bergamotpitch-gateway/src/placements.rs
@@ -12,25 +12,25 @@
 use bergamotpitch_core::refusals::RefusalReason;
 use bergamotpitch_core::units::Timestamp;
 
-use crate::asks::{self, Decided, Granter};
 use crate::calls::Call;
 use crate::gateways::Gateway;
-use crate::messages::NoteEvent;
+use crate::messages::ProgressEvent;
 use crate::refusals::{Inputs, Refusal};
+use crate::remote_placements::{self, Grantor, RemoteDecision};
 
-/// `RETURN_SPREAD` is the part by which the times to come back differ, so that what was refused
+/// `RETRY_AFTER_JITTER` is the part by which the times to come back differ, so that what was refused
 /// together does not come back together.
-const RETURN_SPREAD: f64 = 0.5;
+const RETRY_AFTER_JITTER: f64 = 0.5;
 
-/// `Placed` is a request that has a place at an upstream.
+/// `PlacedRequest` is a request that has a place at an upstream.
 #[derive(Debug, Clone, Copy)]
-pub struct Placed {
+pub struct PlacedRequest {
     /// Its number in the books of whoever placed it.
     pub number: RequestNumber,
     /// The place.
     pub placement: Placement,
     /// Who placed it, when it was not this instance.
-    pub granter: Option<Granter>,
+    pub grantor: Option<Grantor>,
 }
 
 /// `place` finds an upstream for a call and takes the place there.
@@ -42,28 +42,28 @@
     gateway: &Rc<Gateway>,
     call: &Call,
     tried: &[UpstreamKey],
-) -> Result<Placed, Refusal> {
-    let (number, granter, choice) = decide(gateway, call, tried).await;
-    let granter_id = granter.map(|granter| granter.instance);
-    let (reason, after, inputs) = match choice {
-        Choice::Send(placement) => return Ok(Placed { number, placement, granter }),
+) -> Result<PlacedRequest, Refusal> {
+    let (number, grantor, decision) = decide(gateway, call, tried).await;
+    let grantor_id = grantor.map(|grantor| grantor.instance);
+    let (reason, after, inputs) = match decision {
+        Choice::Send(placement) => return Ok(PlacedRequest { number, placement, grantor }),
         Choice::Full { after, standing, least_requests } => {
             let inputs = Inputs {
                 standing: Some(standing),
                 least_requests: Some(least_requests),
-                granter: granter_id,
+                grantor: grantor_id,
             };
-            (reason_of_standing(standing), after, inputs)
+            (refusal_reason(standing), after, inputs)
         }
         Choice::NoUpstream(after) => {
-            let inputs = Inputs { granter: granter_id, ..Inputs::default() };
+            let inputs = Inputs { grantor: grantor_id, ..Inputs::default() };
             (RefusalReason::NoUpstream, after, inputs)
         }
     };
-    Err(Refusal::not_run(reason, spread(after, call.number)).decided_on(inputs))
+    Err(Refusal::not_run(reason, with_jitter(after, call.number)).decided_on(inputs))
 }
 
-fn reason_of_standing(standing: Standing) -> RefusalReason {
+fn refusal_reason(standing: Standing) -> RefusalReason {
     match standing {
         Standing::WithinShare | Standing::Needy => RefusalReason::Overloaded,
         Standing::EvenSurplus | Standing::BeyondEven => RefusalReason::QueueFull,
@@ -74,56 +74,65 @@
     gateway: &Rc<Gateway>,
     call: &Call,
     tried: &[UpstreamKey],
-) -> (RequestNumber, Option<Granter>, Choice) {
+) -> (RequestNumber, Option<Grantor>, Choice) {
     if let Some(dispatcher) = gateway.other_dispatcher() {
-        for may_go_on in [true, false] {
+        for may_forward in [true, false] {
             let number = gateway.fresh_number();
-            let decided = asks::ask(gateway, dispatcher, call, tried, number, may_go_on).await;
-            let Some(Decided { granter, choice }) = decided else { break };
+            let decided = remote_placements::request_placement(
+                gateway,
+                dispatcher,
+                call,
+                tried,
+                number,
+                may_forward,
+            )
+            .await;
+            let Some(RemoteDecision { grantor, decision }) = decided else { break };
             // The dispatcher of another domain had less room than it told.
-            let is_final = matches!(choice, Choice::Send(_)) || granter.instance == dispatcher;
+            let is_final = matches!(decision, Choice::Send(_)) || grantor.instance == dispatcher;
             if is_final {
-                return (number, Some(granter), choice);
+                return (number, Some(grantor), decision);
             }
         }
     }
-    decide_here(gateway, call, tried).await
+    decide_locally(gateway, call, tried).await
 }
 
 /// Decides on a call by the own books. What fits nowhere in the own domain goes to one that has room.
-async fn decide_here(
+async fn decide_locally(
     gateway: &Rc<Gateway>,
     call: &Call,
     tried: &[UpstreamKey],
-) -> (RequestNumber, Option<Granter>, Choice) {
+) -> (RequestNumber, Option<Grantor>, Choice) {
     let now = gateway.now();
-    let ask = owned_ask(call, tried, gateway.scope());
+    let ask = owned_placement_request(call, tried, gateway.scope());
     if tried.is_empty() {
         gateway.note_asked(&ask, now);
     }
     let number = gateway.fresh_number();
-    let choice = gateway.place_here(number, &ask);
-    if matches!(choice, Choice::Send(_)) {
-        return (number, None, choice);
+    let decision = gateway.place_locally(number, &ask);
+    if matches!(decision, Choice::Send(_)) {
+        return (number, None, decision);
     }
     if gateway.is_dispatcher()
-        && let Some(next) = gateway.take_room(id_of_name(&call.service), &choice)
+        && let Some(next) = gateway.reserve_remote_headroom(id_of_name(&call.service), &decision)
     {
         let number = gateway.fresh_number();
-        let decided = asks::ask(gateway, next, call, tried, number, false).await;
-        if let Some(Decided { granter, choice: choice @ Choice::Send(_) }) = decided {
-            return (number, Some(granter), choice);
+        let decided =
+            remote_placements::request_placement(gateway, next, call, tried, number, false).await;
+        if let Some(RemoteDecision { grantor, decision: decision @ Choice::Send(_) }) = decided {
+            return (number, Some(grantor), decision);
         }
     }
-    let ask = match choice {
+    let ask = match decision {
         Choice::NoUpstream(_) => OwnedAsk { scope: Scope::Fleet, ..ask },
         _ => ask,
     };
-    let choice = gateway.decide(number, ask).await;
-    (number, None, choice)
+    let decision = gateway.decide(number, ask).await;
+    (number, None, decision)
 }
 
-fn owned_ask(call: &Call, tried: &[UpstreamKey], scope: Scope) -> OwnedAsk {
+fn owned_placement_request(call: &Call, tried: &[UpstreamKey], scope: Scope) -> OwnedAsk {
     OwnedAsk {
         service: call.service.clone(),
         facts: call.facts.clone(),
@@ -143,14 +152,14 @@
 /// as this instance knows.
 pub fn has_place(gateway: &Gateway, call: &Call, tried: &[UpstreamKey]) -> bool {
     let now = gateway.now();
-    let ask = owned_ask(call, tried, gateway.scope());
+    let ask = owned_placement_request(call, tried, gateway.scope());
     matches!(gateway.traffic.borrow_mut().choose(&ask.at(now), now), Choice::Send(_))
 }
 
-fn spread(after: Duration, number: u64) -> Duration {
+fn with_jitter(after: Duration, number: u64) -> Duration {
     // The golden ratio's multiples are spread evenly whatever the numbers are.
     let fraction = (number as f64 * 0.618_033_988_75).fract();
-    after.mul_f64(1.0 + RETURN_SPREAD * fraction)
+    after.mul_f64(1.0 + RETRY_AFTER_JITTER * fraction)
 }
 
 /// `Run` is a request that has a place at an upstream; dropping it frees the place.
@@ -161,19 +170,19 @@
     key: UpstreamKey,
     sent: Timestamp,
     has_begun: bool,
-    is_settled: bool,
+    has_ended: bool,
 }
 
-/// `LEFT_UNANSWERED` is the time without an answer after which a caller that leaves is held against
+/// `ABANDONED_FAILURE_TIME` is the time without an answer after which a caller that leaves is held against
 /// the upstream.
-const LEFT_UNANSWERED: Duration = Duration::from_millis(1_500);
+const ABANDONED_FAILURE_TIME: Duration = Duration::from_millis(1_500);
 
 impl Run {
     /// `open` follows a request that was placed.
-    pub fn open(gateway: &Rc<Gateway>, placed: &Placed) -> Self {
-        let Placed { number, placement, granter } = *placed;
-        if let Some(granter) = granter {
-            gateway.hold_grant(number, granter, placement);
+    pub fn open(gateway: &Rc<Gateway>, placed: &PlacedRequest) -> Self {
+        let PlacedRequest { number, placement, grantor } = *placed;
+        if let Some(grantor) = grantor {
+            gateway.hold_grant(number, grantor, placement);
         }
         Self {
             gateway: Rc::clone(gateway),
@@ -181,7 +190,7 @@
             key: placement.upstream,
             sent: gateway.now(),
             has_begun: false,
-            is_settled: false,
+            has_ended: false,
         }
     }
 
@@ -197,38 +206,38 @@
             self.has_begun = true;
             if !self.gateway.grant_begun(self.number) {
                 self.gateway.traffic.borrow_mut().begun(self.key, self.number, now);
-                self.gateway.note_change_of_load();
+                self.gateway.mark_load_changed();
             }
         }
         now.saturating_sub(self.sent)
     }
 
-    /// `settle` ends the run with its outcome.
-    pub fn settle(mut self, failed: bool) {
-        self.end(if failed { NoteEvent::Failed } else { NoteEvent::Answered });
+    /// `complete` ends the run with its outcome.
+    pub fn complete(mut self, failed: bool) {
+        self.end(if failed { ProgressEvent::Failed } else { ProgressEvent::Answered });
     }
 
     /// `unreachable` ends the run at an upstream that took no connection.
     pub fn unreachable(mut self) {
         self.gateway.note_unreachable(self.key);
-        self.end(NoteEvent::Unreachable);
+        self.end(ProgressEvent::Unreachable);
     }
 
-    fn end(&mut self, event: NoteEvent) {
-        if self.is_settled {
+    fn end(&mut self, event: ProgressEvent) {
+        if self.has_ended {
             return;
         }
-        self.is_settled = true;
+        self.has_ended = true;
         let now = self.gateway.now();
         let mut traffic = self.gateway.traffic.borrow_mut();
         match event {
-            NoteEvent::Answered => traffic.evidence(self.key).note_outcome(false, now),
-            NoteEvent::Failed => traffic.evidence(self.key).note_outcome(true, now),
-            NoteEvent::Begun | NoteEvent::Unreachable | NoteEvent::Dropped => {}
+            ProgressEvent::Answered => traffic.evidence(self.key).note_outcome(false, now),
+            ProgressEvent::Failed => traffic.evidence(self.key).note_outcome(true, now),
+            ProgressEvent::Begun | ProgressEvent::Unreachable | ProgressEvent::Dropped => {}
         }
         if !self.gateway.grant_ended(self.number, event) {
             traffic.load(self.key).ended(self.number);
-            self.gateway.note_change_of_load();
+            self.gateway.mark_load_changed();
         }
     }
 }
@@ -236,7 +245,7 @@
 impl Drop for Run {
     fn drop(&mut self) {
         let waited = self.gateway.now().saturating_sub(self.sent);
-        let is_unanswered = !self.has_begun && LEFT_UNANSWERED <= waited;
-        self.end(if is_unanswered { NoteEvent::Failed } else { NoteEvent::Dropped });
+        let is_unanswered = !self.has_begun && ABANDONED_FAILURE_TIME <= waited;
+        self.end(if is_unanswered { ProgressEvent::Failed } else { ProgressEvent::Dropped });
     }
 }
--- a/crates/bergamotpitch-gateway/src/probes.rs
+++ b/crates/bergamotpitch-gateway/src/probes.rs
@@ -64,7 +64,7 @@
         }
         (Port::Inner, DOCUMENTS_PATH) => {
             let cursor = relays::cursor_of_query(request.uri().query());
-            respond_with(StatusCode::OK, relays::encode(&gateway.news_since(cursor)))
+            respond_with(StatusCode::OK, relays::encode(&gateway.updates_since(cursor)))
         }
         (Port::Inner, _) => respond_with(StatusCode::NOT_FOUND, Bytes::new()),
     }
--- a/crates/bergamotpitch-gateway/src/refusals.rs
+++ b/crates/bergamotpitch-gateway/src/refusals.rs
@@ -37,7 +37,7 @@
     /// Requests at the upstream that had fewest.
     pub least_requests: Option<u32>,
     /// Instance that decided, when it was another one.
-    pub granter: Option<InstanceId>,
+    pub grantor: Option<InstanceId>,
 }
 
 impl fmt::Display for Inputs {
@@ -49,7 +49,7 @@
         if let Some(requests) = self.least_requests {
             write!(formatter, " least_requests={requests}")?;
         }
-        write!(formatter, " granter={}", self.granter.unwrap_or_default())
+        write!(formatter, " granter={}", self.grantor.unwrap_or_default())
     }
 }
 
--- a/crates/bergamotpitch-gateway/src/relays.rs
+++ b/crates/bergamotpitch-gateway/src/relays.rs
@@ -49,9 +49,9 @@
     pub number: u64,
 }
 
-/// `News` is what a peer knows, or what has changed there since a cursor.
+/// `RelayUpdate` is what a peer knows, or what has changed there since a cursor.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct RelayUpdate {
     /// Where to go on from.
     pub cursor: Cursor,
     /// Whether it is all that the peer knows; what is not in it is gone there.
@@ -176,7 +176,7 @@
         })
     }
 
-    /// `news_since` returns what has changed since a cursor of a peer; the caller states up to where
+    /// `updates_since` returns what has changed since a cursor of a peer; the caller states up to where
     /// the list of upstreams is known.
     ///
     /// ```
@@ -185,21 +185,21 @@
     /// let mut relay = Relay::new(5);
     /// let document = |key: &str| Document { key: key.to_owned(), revision: 1, value: vec![] };
     /// relay.keep_upstream("a", document("list/a"));
-    /// let first = relay.news_since(Cursor::default());
+    /// let first = relay.updates_since(Cursor::default());
     /// assert!(first.is_whole);
     /// relay.keep_upstream("b", document("list/b"));
     /// relay.upstream_gone("a");
-    /// let next = relay.news_since(first.cursor);
+    /// let next = relay.updates_since(first.cursor);
     /// assert!(!next.is_whole);
     /// assert_eq!(next.documents, [document("list/b")]);
     /// assert_eq!(next.removals, ["list/a"]);
     /// ```
-    pub fn news_since(&self, cursor: Cursor) -> News {
+    pub fn updates_since(&self, cursor: Cursor) -> RelayUpdate {
         let is_whole = cursor.incarnation != self.incarnation || cursor.number < self.forgotten;
         let since = if is_whole { 0 } else { cursor.number };
         let documents = self.documents.values().filter(|kept| since < kept.number);
         let removals = self.removals.iter().filter(|kept| !is_whole && since < kept.number);
-        News {
+        RelayUpdate {
             cursor: Cursor { incarnation: self.incarnation, number: self.last_number },
             is_whole,
             list_known: 0,
@@ -216,8 +216,8 @@
 }
 
 /// `encode` writes news for a peer.
-pub fn encode(news: &News) -> Bytes {
-    match postcard::to_stdvec(news) {
+pub fn encode(update: &RelayUpdate) -> Bytes {
+    match postcard::to_stdvec(update) {
         Ok(bytes) => Bytes::from(bytes),
         Err(error) => {
             log::warn!("event=documents_not_encoded error={error}");
@@ -247,14 +247,14 @@
 /// # Errors
 ///
 /// Fails, with a reason for the log, when the peer does not answer in time or not in this form.
-pub async fn fetch(peer: SocketAddr, cursor: Cursor) -> Result<News, String> {
-    match tokio::time::timeout(FETCH_TIMEOUT, fetch_news(peer, cursor)).await {
+pub async fn fetch(peer: SocketAddr, cursor: Cursor) -> Result<RelayUpdate, String> {
+    match tokio::time::timeout(FETCH_TIMEOUT, fetch_updates(peer, cursor)).await {
         Ok(result) => result,
         Err(_) => Err("no answer in time".to_owned()),
     }
 }
 
-async fn fetch_news(peer: SocketAddr, cursor: Cursor) -> Result<News, String> {
+async fn fetch_updates(peer: SocketAddr, cursor: Cursor) -> Result<RelayUpdate, String> {
     let mut sender = connect(peer).await.map_err(|error| error.to_string())?;
     let request = Request::get(format!("{DOCUMENTS_PATH}?{}", query_of_cursor(cursor)))
         .header(http::header::HOST, peer.to_string())
--- a/crates/bergamotpitch-gateway/src/asks.rs
+++ b/crates/bergamotpitch-gateway/src/remote_placements.rs
@@ -21,7 +21,8 @@
 use crate::calls::Call;
 use crate::gateways::Gateway;
 use crate::messages::{
-    AskBody, Body, Held, MESSAGE_BYTES, Note, NoteEvent, Reply, ReplyOutcome, millis,
+    Body, GrantConfirmation, MESSAGE_BYTES, PlacementRequestBody, ProgressEvent, ProgressReport,
+    Reply, ReplyOutcome, millis,
 };
 
 /// `REPLY_TIMEOUT` is the time for the first reply to an ask: many times the way within a domain, and
@@ -31,101 +32,101 @@
 /// `SENDS_MAX` is how often an ask is sent; single datagrams are lost.
 const SENDS_MAX: u32 = 2;
 
-/// `WAIT_PART` is the part of the target after which a request that waits at a dispatcher no longer
+/// `REPLY_WAIT_FRACTION` is the part of the target after which a request that waits at a dispatcher no longer
 /// counts on its reply.
-const WAIT_PART: f64 = 0.55;
+const REPLY_WAIT_FRACTION: f64 = 0.55;
 
-/// `NOTES_DELAY` is for how long notes are gathered before they are sent.
-const NOTES_DELAY: Duration = Duration::from_millis(3);
+/// `REPORTS_DELAY` is for how long notes are gathered before they are sent.
+const REPORTS_DELAY: Duration = Duration::from_millis(3);
 
-/// `NOTES_MAX` bounds the notes in one message.
-const NOTES_MAX: usize = MESSAGE_BYTES / 16;
+/// `REPORTS_MAX` bounds the notes in one message.
+const REPORTS_MAX: usize = MESSAGE_BYTES / 16;
 
-/// `HELD_MAX` bounds the grants that one message confirms.
-const HELD_MAX: usize = MESSAGE_BYTES / 8;
+/// `CONFIRMED_GRANTS_MAX` bounds the grants that one message confirms.
+const CONFIRMED_GRANTS_MAX: usize = MESSAGE_BYTES / 8;
 
-/// `Asks` are the requests of this instance that others decide on.
+/// `RemotePlacements` are the requests of this instance that others decide on.
 #[derive(Debug, Default)]
-pub struct Asks {
-    pending: RefCell<HashMap<RequestNumber, Rc<Pending>>>,
+pub struct RemotePlacements {
+    pending: RefCell<HashMap<RequestNumber, Rc<PendingReply>>>,
     held: RefCell<HeldGrants>,
-    notes: RefCell<HashMap<InstanceId, Vec<Note>>>,
-    flush_is_due: Cell<bool>,
+    reports: RefCell<HashMap<InstanceId, Vec<ProgressReport>>>,
+    is_flush_scheduled: Cell<bool>,
     /// When a dispatcher last left an ask without any reply.
     unanswered: RefCell<HashMap<InstanceId, Timestamp>>,
     confirmed: Cell<Timestamp>,
 }
 
 #[derive(Debug, Default)]
-struct Pending {
+struct PendingReply {
     waits: Cell<bool>,
-    decided: Cell<Option<(Granter, ReplyOutcome)>>,
+    decided: Cell<Option<(Grantor, ReplyOutcome)>>,
     changed: Notify,
 }
 
-/// `Granter` is one life of an instance that decides for others.
+/// `Grantor` is one life of an instance that decides for others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Granter {
+pub struct Grantor {
     /// The instance.
     pub instance: InstanceId,
     /// Its life.
     pub incarnation: Incarnation,
 }
 
-/// `Decided` is what another instance decided on a request.
+/// `RemoteDecision` is what another instance decided on a request.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Decided {
+pub struct RemoteDecision {
     /// Who decided.
-    pub granter: Granter,
+    pub grantor: Grantor,
     /// The decision.
-    pub choice: Choice,
+    pub decision: Choice,
 }
 
-/// `PendingAsk` forgets an ask when it is dropped. Where nobody took up its reply, the dispatcher is
+/// `PendingPlacement` forgets an ask when it is dropped. Where nobody took up its reply, the dispatcher is
 /// told to free the place that it may have given.
-struct PendingAsk<'a> {
+struct PendingPlacement<'a> {
     gateway: &'a Rc<Gateway>,
     dispatcher: InstanceId,
     number: RequestNumber,
-    is_settled: bool,
+    is_resolved: bool,
 }
 
-impl Drop for PendingAsk<'_> {
+impl Drop for PendingPlacement<'_> {
     fn drop(&mut self) {
-        let asks = &self.gateway.asks;
-        asks.pending.borrow_mut().remove(&self.number);
-        if !self.is_settled {
-            self.gateway.tell_granter(self.dispatcher, self.number, NoteEvent::Dropped);
+        let remote_placements = &self.gateway.remote_placements;
+        remote_placements.pending.borrow_mut().remove(&self.number);
+        if !self.is_resolved {
+            self.gateway.report_to_grantor(self.dispatcher, self.number, ProgressEvent::Dropped);
         }
     }
 }
 
 /// `ask` asks a dispatcher for a place; `None` when it did not decide.
-pub async fn ask(
+pub async fn request_placement(
     gateway: &Rc<Gateway>,
     dispatcher: InstanceId,
     call: &Call,
     tried: &[UpstreamKey],
     number: RequestNumber,
-    may_go_on: bool,
-) -> Option<Decided> {
+    may_forward: bool,
+) -> Option<RemoteDecision> {
     let address = gateway.beat_address_of(dispatcher)?;
-    let pending = Rc::new(Pending::default());
-    gateway.asks.pending.borrow_mut().insert(number, Rc::clone(&pending));
-    let mut ask = PendingAsk { gateway, dispatcher, number, is_settled: false };
-    let body = gateway.ask_of_call(call, tried, number, may_go_on);
+    let pending = Rc::new(PendingReply::default());
+    gateway.remote_placements.pending.borrow_mut().insert(number, Rc::clone(&pending));
+    let mut ask = PendingPlacement { gateway, dispatcher, number, is_resolved: false };
+    let body = gateway.placement_request_of_call(call, tried, number, may_forward);
     let outcome = wait_for_reply(gateway, &pending, address, call, body).await;
-    ask.is_settled = outcome.is_some();
-    let Some((granter, outcome)) = outcome else {
+    ask.is_resolved = outcome.is_some();
+    let Some((grantor, outcome)) = outcome else {
         gateway.metrics.unanswered_asks.inc();
         let now = gateway.now();
-        gateway.asks.unanswered.borrow_mut().insert(dispatcher, now);
+        gateway.remote_placements.unanswered.borrow_mut().insert(dispatcher, now);
         return None;
     };
-    match gateway.choice_of_reply(&outcome) {
-        Some(choice) => Some(Decided { granter, choice }),
+    match gateway.decision_of_reply(&outcome) {
+        Some(decision) => Some(RemoteDecision { grantor, decision }),
         None => {
-            gateway.tell_granter(granter.instance, number, NoteEvent::Dropped);
+            gateway.report_to_grantor(grantor.instance, number, ProgressEvent::Dropped);
             None
         }
     }
@@ -133,15 +134,15 @@
 
 async fn wait_for_reply(
     gateway: &Rc<Gateway>,
-    pending: &Pending,
+    pending: &PendingReply,
     address: SocketAddr,
     call: &Call,
-    body: AskBody,
-) -> Option<(Granter, ReplyOutcome)> {
+    body: PlacementRequestBody,
+) -> Option<(Grantor, ReplyOutcome)> {
     for _ in 0..SENDS_MAX {
         gateway.metrics.asks.inc();
-        gateway.send_message(Body::Ask(body.clone()), address);
-        pending.changed_within(REPLY_TIMEOUT).await;
+        gateway.send_message(Body::PlacementRequest(body.clone()), address);
+        pending.wait_for_change(REPLY_TIMEOUT).await;
         if let Some(decided) = pending.decided.get() {
             return Some(decided);
         }
@@ -152,21 +153,21 @@
     if !pending.waits.get() {
         return None;
     }
-    let until = call.arrived + call.route.target_latency.mul_f64(WAIT_PART);
+    let until = call.arrived + call.route.target_latency.mul_f64(REPLY_WAIT_FRACTION);
     loop {
         let left = until.saturating_sub(gateway.now());
         if left.is_zero() {
             return None;
         }
-        pending.changed_within(left).await;
+        pending.wait_for_change(left).await;
         if let Some(decided) = pending.decided.get() {
             return Some(decided);
         }
     }
 }
 
-impl Pending {
-    async fn changed_within(&self, time: Duration) {
+impl PendingReply {
+    async fn wait_for_change(&self, time: Duration) {
         if tokio::time::timeout(time, self.changed.notified()).await.is_err() {
             // In a process that is late the reply may lie unread beside the timer that is due.
             tokio::task::yield_now().await;
@@ -175,23 +176,24 @@
 }
 
 impl Gateway {
-    fn ask_of_call(
+    fn placement_request_of_call(
         &self,
         call: &Call,
         tried: &[UpstreamKey],
         number: RequestNumber,
-        may_go_on: bool,
-    ) -> AskBody {
+        may_forward: bool,
+    ) -> PlacementRequestBody {
         let traffic = self.traffic.borrow();
-        let life_of = |key: &UpstreamKey| traffic.registry.get(*key);
-        let tried_lives = tried.iter().filter_map(life_of).map(|upstream| upstream.life_number);
+        let upstream_of = |key: &UpstreamKey| traffic.registry.get(*key);
+        let tried_incarnations =
+            tried.iter().filter_map(upstream_of).map(|upstream| upstream.life_number);
         let facts = &call.facts;
-        AskBody {
+        PlacementRequestBody {
             number,
             // What may not go on was counted by whoever looked for a place before.
-            is_first: may_go_on && tried.is_empty(),
-            asker: None,
-            may_go_on,
+            is_first: may_forward && tried.is_empty(),
+            requester: None,
+            may_forward,
             service: id_of_name(&call.service),
             team: call.team.as_ref().map(|team| id_of_name(&team.name)),
             prompt_tokens: facts.prompt_tokens,
@@ -200,12 +202,12 @@
             target_ms: millis(call.route.target_latency),
             target_gap_ms: call.route.target_gap.map(millis),
             elapsed_ms: millis(self.now().saturating_sub(call.arrived)),
-            tried: tried_lives.collect(),
+            tried: tried_incarnations.collect(),
         }
     }
 
     /// The decision as this instance can follow it; `None` when it knows better.
-    fn choice_of_reply(&self, outcome: &ReplyOutcome) -> Option<Choice> {
+    fn decision_of_reply(&self, outcome: &ReplyOutcome) -> Option<Choice> {
         let after = |after_ms: u32| Duration::from_millis(after_ms.into());
         match outcome {
             ReplyOutcome::Granted(line) => {
@@ -222,11 +224,11 @@
         }
     }
 
-    /// `take_reply` takes in a reply to an ask.
-    pub(crate) fn take_reply(self: &Rc<Self>, granter: Granter, reply: &Reply) {
-        let pending = self.asks.pending.borrow().get(&reply.number).cloned();
+    /// `handle_reply` takes in a reply to an ask.
+    pub(crate) fn handle_reply(self: &Rc<Self>, grantor: Grantor, reply: &Reply) {
+        let pending = self.remote_placements.pending.borrow().get(&reply.number).cloned();
         let Some(pending) = pending else {
-            self.take_late_reply(granter, reply);
+            self.handle_late_reply(grantor, reply);
             return;
         };
         match reply.outcome {
@@ -234,7 +236,7 @@
             outcome => {
                 // An ask that was sent twice is answered twice.
                 if pending.decided.get().is_none() {
-                    pending.decided.set(Some((granter, outcome)));
+                    pending.decided.set(Some((grantor, outcome)));
                 }
             }
         }
@@ -242,97 +244,108 @@
     }
 
     /// A place that nobody waits for any more is given back.
-    fn take_late_reply(self: &Rc<Self>, granter: Granter, reply: &Reply) {
-        let is_in_hand = self.asks.held.borrow().contains_key(&reply.number);
-        if matches!(reply.outcome, ReplyOutcome::Granted(_)) && !is_in_hand {
-            self.tell_granter(granter.instance, reply.number, NoteEvent::Dropped);
+    fn handle_late_reply(self: &Rc<Self>, grantor: Grantor, reply: &Reply) {
+        let is_held = self.remote_placements.held.borrow().contains_key(&reply.number);
+        if matches!(reply.outcome, ReplyOutcome::Granted(_)) && !is_held {
+            self.report_to_grantor(grantor.instance, reply.number, ProgressEvent::Dropped);
         }
     }
 
     /// `hold_grant` takes in that a granted request is sent.
-    pub(crate) fn hold_grant(&self, number: RequestNumber, granter: Granter, placement: Placement) {
-        let Granter { instance: granter, incarnation: granter_life } = granter;
-        let grant = HeldGrant { granter, granter_life, placement, has_begun: false };
-        self.asks.held.borrow_mut().insert(number, grant);
+    pub(crate) fn hold_grant(&self, number: RequestNumber, grantor: Grantor, placement: Placement) {
+        let Grantor { instance: grantor, incarnation: granter_life } = grantor;
+        let grant = HeldGrant { granter: grantor, granter_life, placement, has_begun: false };
+        self.remote_placements.held.borrow_mut().insert(number, grant);
     }
 
     /// `grant_begun` takes in the first event of a granted request; it tells whether it was one.
     pub(crate) fn grant_begun(self: &Rc<Self>, number: RequestNumber) -> bool {
-        let granter = match self.asks.held.borrow_mut().get_mut(&number) {
+        let grantor = match self.remote_placements.held.borrow_mut().get_mut(&number) {
             Some(grant) => {
                 grant.has_begun = true;
                 grant.granter
             }
             None => return false,
         };
-        self.tell_granter(granter, number, NoteEvent::Begun);
+        self.report_to_grantor(grantor, number, ProgressEvent::Begun);
         true
     }
 
     /// `grant_ended` takes in the end of a granted request; it tells whether it was one.
-    pub(crate) fn grant_ended(self: &Rc<Self>, number: RequestNumber, event: NoteEvent) -> bool {
-        let ended = self.asks.held.borrow_mut().remove(&number);
+    pub(crate) fn grant_ended(
+        self: &Rc<Self>,
+        number: RequestNumber,
+        event: ProgressEvent,
+    ) -> bool {
+        let ended = self.remote_placements.held.borrow_mut().remove(&number);
         let Some(grant) = ended else { return false };
-        self.tell_granter(grant.granter, number, event);
+        self.report_to_grantor(grant.granter, number, event);
         true
     }
 
-    /// `tell_granter` tells another instance what became of a request; notes that come within some
+    /// `report_to_grantor` tells another instance what became of a request; notes that come within some
     /// milliseconds go together.
-    pub(crate) fn tell_granter(
+    pub(crate) fn report_to_grantor(
         self: &Rc<Self>,
-        granter: InstanceId,
+        grantor: InstanceId,
         number: RequestNumber,
-        event: NoteEvent,
+        event: ProgressEvent,
     ) {
-        let asks = &self.asks;
-        asks.notes.borrow_mut().entry(granter).or_default().push(Note { number, event });
-        if asks.flush_is_due.replace(true) {
+        let remote_placements = &self.remote_placements;
+        remote_placements
+            .reports
+            .borrow_mut()
+            .entry(grantor)
+            .or_default()
+            .push(ProgressReport { number, event });
+        if remote_placements.is_flush_scheduled.replace(true) {
             return;
         }
         let gateway = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            tokio::time::sleep(NOTES_DELAY).await;
-            gateway.flush_notes();
+            tokio::time::sleep(REPORTS_DELAY).await;
+            gateway.flush_reports();
         });
     }
 
-    fn flush_notes(&self) {
-        self.asks.flush_is_due.set(false);
-        let notes = std::mem::take(&mut *self.asks.notes.borrow_mut());
-        for (granter, notes) in notes {
-            let Some(address) = self.beat_address_of(granter) else { continue };
-            for notes in notes.chunks(NOTES_MAX) {
-                self.send_message(Body::Progress(notes.to_vec()), address);
+    fn flush_reports(&self) {
+        self.remote_placements.is_flush_scheduled.set(false);
+        let reports = std::mem::take(&mut *self.remote_placements.reports.borrow_mut());
+        for (grantor, reports) in reports {
+            let Some(address) = self.beat_address_of(grantor) else { continue };
+            for reports in reports.chunks(REPORTS_MAX) {
+                self.send_message(Body::Progress(reports.to_vec()), address);
             }
         }
     }
 
     /// `confirm_grants` tells each granter which of its grants are in hand.
     pub(crate) fn confirm_grants(&self, now: Timestamp) {
-        let asks = &self.asks;
-        if now < asks.confirmed.get() + CONFIRM_INTERVAL {
+        let remote_placements = &self.remote_placements;
+        if now < remote_placements.confirmed.get() + CONFIRM_INTERVAL {
             return;
         }
-        asks.confirmed.set(now);
-        let mut of_granter: HashMap<InstanceId, Held> = HashMap::default();
+        remote_placements.confirmed.set(now);
+        let mut confirmations: HashMap<InstanceId, GrantConfirmation> = HashMap::default();
         let traffic = self.traffic.borrow();
-        for (number, grant) in &*asks.held.borrow() {
-            let held = of_granter.entry(grant.granter).or_default();
-            held.numbers.push(*number);
+        for (number, grant) in &*remote_placements.held.borrow() {
+            let confirmation = confirmations.entry(grant.granter).or_default();
+            confirmation.numbers.push(*number);
             let key = grant.placement.upstream;
             let Some(upstream) = traffic.registry.get(key) else { continue };
             let life = upstream.life_number;
-            if held.silences.iter().all(|(known, _)| *known != life) {
-                held.silences.push((life, millis(traffic.silence(key, now))));
+            if confirmation.last_byte_ages_ms.iter().all(|(known, _)| *known != life) {
+                confirmation.last_byte_ages_ms.push((life, millis(traffic.silence(key, now))));
             }
         }
-        for (granter, held) in of_granter {
-            let Some(address) = self.beat_address_of(granter) else { continue };
-            for (index, numbers) in held.numbers.chunks(HELD_MAX).enumerate() {
-                let silences = if index == 0 { held.silences.clone() } else { Vec::new() };
-                let held = Held { numbers: numbers.to_vec(), silences };
-                self.send_message(Body::Held(held), address);
+        for (grantor, confirmation) in confirmations {
+            let Some(address) = self.beat_address_of(grantor) else { continue };
+            for (index, numbers) in confirmation.numbers.chunks(CONFIRMED_GRANTS_MAX).enumerate() {
+                let last_byte_ages_ms =
+                    if index == 0 { confirmation.last_byte_ages_ms.clone() } else { Vec::new() };
+                let confirmation =
+                    GrantConfirmation { numbers: numbers.to_vec(), last_byte_ages_ms };
+                self.send_message(Body::GrantConfirmation(confirmation), address);
             }
         }
     }
@@ -341,14 +354,14 @@
     /// left out, by the lives of upstreams.
     pub(crate) fn held_figures(
         &self,
-        is_left_out: impl Fn(Granter) -> bool,
+        is_left_out: impl Fn(Grantor) -> bool,
     ) -> HashMap<UpstreamId, Figures> {
         let traffic = self.traffic.borrow();
         let mut figures: HashMap<UpstreamId, Figures> = HashMap::default();
-        for grant in self.asks.held.borrow().values() {
-            let HeldGrant { granter, granter_life, placement, has_begun } = *grant;
+        for grant in self.remote_placements.held.borrow().values() {
+            let HeldGrant { granter: grantor, granter_life, placement, has_begun } = *grant;
             let Some(upstream) = traffic.registry.get(placement.upstream) else { continue };
-            if is_left_out(Granter { instance: granter, incarnation: granter_life }) {
+            if is_left_out(Grantor { instance: grantor, incarnation: granter_life }) {
                 continue;
             }
             let unread_tokens = if has_begun { 0.0 } else { placement.work.unread_tokens };
@@ -359,13 +372,13 @@
         figures
     }
 
-    /// `is_answering` tells whether an instance has been heard since it last left an ask without a
+    /// `is_responsive` tells whether an instance has been heard since it last left an ask without a
     /// reply.
-    pub(crate) fn is_answering(&self, dispatcher: InstanceId) -> bool {
-        let unanswered = self.asks.unanswered.borrow().get(&dispatcher).copied();
-        let heard = self.peers.borrow().get(&dispatcher).and_then(|peer| peer.heard);
+    pub(crate) fn is_responsive(&self, dispatcher: InstanceId) -> bool {
+        let unanswered = self.remote_placements.unanswered.borrow().get(&dispatcher).copied();
+        let last_seen = self.peers.borrow().get(&dispatcher).and_then(|peer| peer.last_seen);
         match unanswered {
-            Some(unanswered) => heard.is_some_and(|heard| unanswered < heard),
+            Some(unanswered) => last_seen.is_some_and(|last_seen| unanswered < last_seen),
             None => true,
         }
     }
--- a/crates/bergamotpitch-gateway/src/store_news.rs
+++ b/crates/bergamotpitch-gateway/src/store_updates.rs
@@ -12,42 +12,42 @@
 use bergamotpitch_core::units::Timestamp;
 use tokio::sync::Notify;
 
-use crate::beats::{own_domain, own_standbys};
 use crate::gateways::Gateway;
+use crate::heartbeats::{domain_peers, standby_peers};
 use crate::logs::decision;
 use crate::peers::{Peer, Peers};
-use crate::relays::{self, Cursor, News, Relay};
+use crate::relays::{self, Cursor, Relay, RelayUpdate};
 
 /// `LIST_TOLERANCE` is how long peers may know a newer list of upstreams before the own watch is
 /// given up: the store tells all watches within some milliseconds.
 const LIST_TOLERANCE: Duration = Duration::from_millis(800);
 
-/// `WATCHERS` is how many instances of a failure domain watch the store, so that some may fail; the
+/// `WATCHERS_PER_DOMAIN` is how many instances of a failure domain watch the store, so that some may fail; the
 /// others fetch from them what has changed, and know of it up to half a second later. Were all 90
 /// instances of a fleet to watch, each change of one upstream would cost 90 calls; in a domain of
 /// three nothing is saved by it. They are those that stand by to be the domain's dispatcher, which
 /// the others hear.
-const WATCHERS: usize = 2;
+const WATCHERS_PER_DOMAIN: usize = 2;
 
-/// `DISTRUST` is for how long an instance reads the store itself after a peer did not hand over
+/// `DISTRUST_TIME` is for how long an instance reads the store itself after a peer did not hand over
 /// what it knows.
-const DISTRUST: Duration = Duration::from_secs(5);
+const DISTRUST_TIME: Duration = Duration::from_secs(5);
 
-/// `FIRST_WAIT` is for how long an instance that starts counts on watchers of its domain that do not
+/// `STARTUP_WATCHER_TIMEOUT` is for how long an instance that starts counts on watchers of its domain that do not
 /// answer. A fleet that starts as a whole has its watchers start with it.
-const FIRST_WAIT: Duration = Duration::from_millis(2_000);
+const STARTUP_WATCHER_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// `FIRST_FETCH_PAUSE` is the time between two questions to watchers until then.
-const FIRST_FETCH_PAUSE: Duration = Duration::from_millis(120);
+/// `STARTUP_FETCH_INTERVAL` is the time between two questions to watchers until then.
+const STARTUP_FETCH_INTERVAL: Duration = Duration::from_millis(120);
 
-/// `LIST_WAIT` is for how long an instance that starts waits to know its peers before it reads the store
+/// `STARTUP_PEERS_TIMEOUT` is for how long an instance that starts waits to know its peers before it reads the store
 /// for all that it needs.
-const LIST_WAIT: Duration = Duration::from_millis(1_000);
+const STARTUP_PEERS_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// `CHECK_INTERVAL` is the time after which one of the instances of a domain that rely on peers looks at
+/// `LIST_CHECK_INTERVAL` is the time after which one of the instances of a domain that rely on peers looks at
 /// the list by itself: should all watchers of a fleet have lost the store at once, nobody else would
 /// notice.
-const CHECK_INTERVAL: Duration = Duration::from_secs(5);
+const LIST_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// `LAG_TOLERANCE` is how long a peer may know more before it is asked: the platform's own notice
 /// mostly comes first, or that of a peer of the own domain.
@@ -61,12 +61,12 @@
 /// that is short and not paid.
 const WATCHER_FETCH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// `TakeNews` hands what a peer sent to whoever understands it.
-pub type TakeNews = Box<dyn Fn(News)>;
+/// `UpdateHandler` hands what a peer sent to whoever understands it.
+pub type UpdateHandler = Box<dyn Fn(RelayUpdate)>;
 
-/// `StoreNews` is what this instance knows of the store, and by whom.
+/// `StoreUpdates` is what this instance knows of the store, and by whom.
 #[derive(Default)]
-pub struct StoreNews {
+pub struct StoreUpdates {
     /// Documents for peers.
     pub relay: RefCell<Relay>,
     /// Told when this instance begins or ceases to rely on what peers read of the store.
@@ -78,13 +78,13 @@
     peers_listed: Notify,
     is_listed: Cell<bool>,
     /// Until when this instance counts on the watchers for what it needs at its start.
-    counts_on_watchers_until: Cell<Timestamp>,
-    take_news: RefCell<Option<TakeNews>>,
+    watchers_trusted_until: Cell<Timestamp>,
+    update_handler: RefCell<Option<UpdateHandler>>,
     /// Up to where the changes of each peer, by its address, were taken in.
     cursors: RefCell<HashMap<SocketAddr, Cursor>>,
     is_relying: Cell<bool>,
     /// Until when no peer is relied on, as one did not hand over what it knows.
-    relies_not_until: Cell<Timestamp>,
+    peers_distrusted_until: Cell<Timestamp>,
     /// Up to where the own watch has read the list.
     list_watched: Cell<u64>,
     /// Up to where it is known, by the own watch or by peers.
@@ -95,94 +95,94 @@
     next_fetch: Cell<Timestamp>,
 }
 
-impl StoreNews {
+impl StoreUpdates {
     /// `new` knows nothing, in one life of an instance.
     pub fn new(incarnation: Incarnation) -> Self {
         Self { relay: RefCell::new(Relay::new(incarnation)), ..Self::default() }
     }
 
-    /// `caught_up` takes in a newer configuration: a peer that is still ahead has been for no time.
-    pub(crate) fn caught_up(&self) {
+    /// `reset_lag` takes in a newer configuration: a peer that is still ahead has been for no time.
+    pub(crate) fn reset_lag(&self) {
         self.lagging_since.set(None);
     }
 }
 
 impl Gateway {
-    /// `on_news` sets who takes in what peers send.
-    pub fn on_news(&self, take: TakeNews) {
-        *self.store_news.take_news.borrow_mut() = Some(take);
+    /// `on_update` sets who takes in what peers send.
+    pub fn on_update(&self, handler: UpdateHandler) {
+        *self.store_updates.update_handler.borrow_mut() = Some(handler);
     }
 
     /// `list_change` returns the revision of the latest change of the list of upstreams that this
     /// instance has seen.
     pub fn list_change(&self) -> u64 {
-        self.store_news.list_change.get()
+        self.store_updates.list_change.get()
     }
 
     /// `list_read` notes that the own watch has read the list up to a revision of the store, and the
     /// latest change that was seen in it.
     pub fn list_read(&self, known: u64, change: u64) {
-        self.store_news.list_watched.set(self.store_news.list_watched.get().max(known));
-        self.list_told(known, change);
+        self.store_updates.list_watched.set(self.store_updates.list_watched.get().max(known));
+        self.list_reported(known, change);
     }
 
-    /// `list_told` notes the same of what a peer has told.
-    pub fn list_told(&self, known: u64, change: u64) {
-        self.store_news.list_known.set(self.store_news.list_known.get().max(known));
-        self.store_news.list_change.set(self.store_news.list_change.get().max(change));
+    /// `list_reported` notes the same of what a peer has told.
+    pub fn list_reported(&self, known: u64, change: u64) {
+        self.store_updates.list_known.set(self.store_updates.list_known.get().max(known));
+        self.store_updates.list_change.set(self.store_updates.list_change.get().max(change));
     }
 
     /// `relies_on_peers` tells whether this instance leaves watching the store to others of its
     /// domain, and fetches from them what has changed.
     pub fn relies_on_peers(&self) -> bool {
-        self.store_news.is_relying.get()
+        self.store_updates.is_relying.get()
     }
 
     /// Decides anew whether others watch the store; the beats of a watcher that ended cease.
-    pub(crate) fn note_role(&self) {
+    pub(crate) fn update_watch_role(&self) {
         let rank = self.role().rank;
         let now = self.now();
-        let is_trusted = self.store_news.relies_not_until.get() <= now;
-        let may_wait = now < self.store_news.counts_on_watchers_until.get();
-        let relies = (self.knows_all() || may_wait) && is_trusted && WATCHERS <= rank;
-        if self.store_news.is_relying.replace(relies) == relies {
+        let is_trusted = self.store_updates.peers_distrusted_until.get() <= now;
+        let may_wait = now < self.store_updates.watchers_trusted_until.get();
+        let relies = (self.knows_all() || may_wait) && is_trusted && WATCHERS_PER_DOMAIN <= rank;
+        if self.store_updates.is_relying.replace(relies) == relies {
             return;
         }
         decision(
             EventKind::WatchRoleChanged,
             format_args!("relies_on_peers={relies} rank={rank} trusted={is_trusted}"),
         );
-        self.store_news.role_changed.notify_waiters();
+        self.store_updates.role_changed.notify_waiters();
     }
 
     /// Takes in that peers were listed. Where others of the domain watch the store, this instance asks
     /// them for all that it needs to know.
-    pub(crate) fn note_listed(self: &Rc<Self>) {
-        if self.store_news.is_listed.replace(true) {
+    pub(crate) fn note_peers_listed(self: &Rc<Self>) {
+        if self.store_updates.is_listed.replace(true) {
             return;
         }
-        self.store_news.counts_on_watchers_until.set(self.now() + FIRST_WAIT);
-        self.note_role();
-        self.store_news.peers_listed.notify_waiters();
+        self.store_updates.watchers_trusted_until.set(self.now() + STARTUP_WATCHER_TIMEOUT);
+        self.update_watch_role();
+        self.store_updates.peers_listed.notify_waiters();
         if self.relies_on_peers() {
-            tokio::task::spawn_local(ask_watchers(Rc::clone(self)));
+            tokio::task::spawn_local(fetch_from_watchers(Rc::clone(self)));
         }
     }
 
-    /// `check_interval` returns the time after which this instance looks at the list by itself while it
+    /// `list_check_interval` returns the time after which this instance looks at the list by itself while it
     /// relies on peers. Instances take different times, so that a domain's do not look together.
-    pub fn check_interval(&self) -> Duration {
-        let relying = own_domain(self).len().saturating_sub(WATCHERS - 1).max(1);
+    pub fn list_check_interval(&self) -> Duration {
+        let relying = domain_peers(self).len().saturating_sub(WATCHERS_PER_DOMAIN - 1).max(1);
         let spread = 0.5 + f64::from(self.options.instance % 1_000) / 1_000.0;
-        CHECK_INTERVAL.mul_f64(relying as f64 * spread)
+        LIST_CHECK_INTERVAL.mul_f64(relying as f64 * spread)
     }
 
-    /// `first_list` waits for a moment until this instance knows whether others watch the store for it.
-    pub async fn first_list(&self) {
-        let listed = self.store_news.peers_listed.notified();
-        if !self.store_news.is_listed.get() {
+    /// `wait_for_peer_list` waits for a moment until this instance knows whether others watch the store for it.
+    pub async fn wait_for_peer_list(&self) {
+        let listed = self.store_updates.peers_listed.notified();
+        if !self.store_updates.is_listed.get() {
             // The store may be out of reach; the watches will tell.
-            let _ = tokio::time::timeout(LIST_WAIT, listed).await;
+            let _ = tokio::time::timeout(STARTUP_PEERS_TIMEOUT, listed).await;
         }
     }
 
@@ -191,37 +191,37 @@
         self.role().rank == 0
     }
 
-    /// `news_since` returns what this instance knows, or what has changed since a cursor.
-    pub fn news_since(&self, cursor: Cursor) -> News {
-        News {
-            list_known: self.store_news.list_known.get(),
-            list_change: self.store_news.list_change.get(),
-            ..self.store_news.relay.borrow().news_since(cursor)
+    /// `updates_since` returns what this instance knows, or what has changed since a cursor.
+    pub fn updates_since(&self, cursor: Cursor) -> RelayUpdate {
+        RelayUpdate {
+            list_known: self.store_updates.list_known.get(),
+            list_change: self.store_updates.list_change.get(),
+            ..self.store_updates.relay.borrow().updates_since(cursor)
         }
     }
 
-    /// `fetch_news` asks another instance for what it knows and this one does not.
-    pub async fn fetch_news(&self, from: SocketAddr) {
-        let cursor = self.store_news.cursors.borrow().get(&from).copied().unwrap_or_default();
+    /// `fetch_updates` asks another instance for what it knows and this one does not.
+    pub async fn fetch_updates(&self, from: SocketAddr) {
+        let cursor = self.store_updates.cursors.borrow().get(&from).copied().unwrap_or_default();
         match relays::fetch(from, cursor).await {
-            Ok(news) => {
+            Ok(update) => {
                 log::info!(
                     "event=news_fetched peer={from} whole={} documents={} removals={} known={}",
-                    news.is_whole,
-                    news.documents.len(),
-                    news.removals.len(),
-                    news.list_known,
+                    update.is_whole,
+                    update.documents.len(),
+                    update.removals.len(),
+                    update.list_known,
                 );
-                self.store_news.cursors.borrow_mut().insert(from, news.cursor);
-                self.store_news.counts_on_watchers_until.set(self.now() + FIRST_WAIT);
-                if let Some(take) = self.store_news.take_news.borrow().as_ref() {
-                    take(news);
+                self.store_updates.cursors.borrow_mut().insert(from, update.cursor);
+                self.store_updates.watchers_trusted_until.set(self.now() + STARTUP_WATCHER_TIMEOUT);
+                if let Some(handler) = self.store_updates.update_handler.borrow().as_ref() {
+                    handler(update);
                 }
             }
             Err(error) => {
                 log::info!("event=news_not_fetched peer={from} error={error}");
                 if self.knows_all() {
-                    self.store_news.relies_not_until.set(self.now() + DISTRUST);
+                    self.store_updates.peers_distrusted_until.set(self.now() + DISTRUST_TIME);
                 }
             }
         }
@@ -229,53 +229,53 @@
 
     /// Gives the own watch up once a peer has known more of the list for some time, also when that
     /// peer has told of it: a watch that misses one change will miss the next.
-    pub(crate) fn compare_lists(&self) {
+    pub(crate) fn check_list_lag(&self) {
         let now = self.now();
-        let known = self.store_news.list_watched.get();
+        let known = self.store_updates.list_watched.get();
         // The watch of an instance that relies on peers rests, and reads nothing meanwhile.
         if self.relies_on_peers()
             || self.peers.borrow().values().all(|peer| peer.list_change <= known)
         {
-            self.store_news.list_behind_since.set(None);
+            self.store_updates.list_behind_since.set(None);
             return;
         }
-        let since = self.store_news.list_behind_since.get().unwrap_or(now);
-        self.store_news.list_behind_since.set(Some(since));
+        let since = self.store_updates.list_behind_since.get().unwrap_or(now);
+        self.store_updates.list_behind_since.set(Some(since));
         if since + LIST_TOLERANCE <= now {
-            self.store_news.list_behind_since.set(Some(now));
+            self.store_updates.list_behind_since.set(Some(now));
             log::info!("event=list_behind revision={known}");
-            self.store_news.list_behind.notify_waiters();
+            self.store_updates.list_behind.notify_waiters();
         }
     }
 
     /// The peer that should be asked for news: one that has known more for some time, or at once
     /// while this instance relies on peers.
-    pub(crate) fn ahead_peer(&self) -> Option<SocketAddr> {
+    pub(crate) fn peer_to_fetch_from(&self) -> Option<SocketAddr> {
         let now = self.now();
         let peers = self.peers.borrow();
         let first_watcher = self.first_watcher(&peers, now);
         let is_ahead = |peer: &&Peer| {
-            self.knows_less_than(peer)
-                || first_watcher.is_some_and(|first| self.missed(first, peer))
+            self.is_behind(peer)
+                || first_watcher.is_some_and(|first| self.has_unfetched_changes(first, peer))
         };
         let ahead =
-            peers.values().filter(|peer| peer.is_heard(now)).filter(is_ahead).max_by_key(|peer| {
-                (self.is_of_domain(peer), peer.version, peer.list_change, peer.heard)
+            peers.values().filter(|peer| peer.is_alive(now)).filter(is_ahead).max_by_key(|peer| {
+                (self.is_of_domain(peer), peer.version, peer.list_change, peer.last_seen)
             });
         let Some(ahead) = ahead else {
-            self.store_news.lagging_since.set(None);
+            self.store_updates.lagging_since.set(None);
             return None;
         };
-        let since = self.store_news.lagging_since.get().unwrap_or(now);
-        self.store_news.lagging_since.set(Some(since));
+        let since = self.store_updates.lagging_since.get().unwrap_or(now);
+        self.store_updates.lagging_since.set(Some(since));
         let (tolerance, interval) = match self.relies_on_peers() && self.is_of_domain(ahead) {
             true => (Duration::ZERO, WATCHER_FETCH_INTERVAL),
             false => (LAG_TOLERANCE, FETCH_INTERVAL),
         };
-        if now < since + tolerance || now < self.store_news.next_fetch.get() {
+        if now < since + tolerance || now < self.store_updates.next_fetch.get() {
             return None;
         }
-        self.store_news.next_fetch.set(now + interval);
+        self.store_updates.next_fetch.set(now + interval);
         Some(ahead.address.relay_address)
     }
 
@@ -283,8 +283,8 @@
         peer.address.domain == self.options.admission.domain
     }
 
-    fn knows_less_than(&self, peer: &Peer) -> bool {
-        self.version() < peer.version || self.store_news.list_known.get() < peer.list_change
+    fn is_behind(&self, peer: &Peer) -> bool {
+        self.version() < peer.version || self.store_updates.list_known.get() < peer.list_change
     }
 
     /// The watcher whose every change this instance follows while it relies on peers.
@@ -292,15 +292,15 @@
         if !self.relies_on_peers() {
             return None;
         }
-        let watchers = peers.values().filter(|peer| peer.is_heard(now) && peer.watches);
+        let watchers = peers.values().filter(|peer| peer.is_alive(now) && peer.watches);
         let of_domain = watchers.filter(|peer| self.is_of_domain(peer));
         of_domain.map(|peer| peer.address.instance).min()
     }
 
     /// Whether a peer is the watcher that is followed and has changes that were not taken in. What
     /// it forgets after an outage changes no revision of the store.
-    fn missed(&self, first_watcher: InstanceId, peer: &Peer) -> bool {
-        let cursors = self.store_news.cursors.borrow();
+    fn has_unfetched_changes(&self, first_watcher: InstanceId, peer: &Peer) -> bool {
+        let cursors = self.store_updates.cursors.borrow();
         let cursor = cursors.get(&peer.address.relay_address).copied().unwrap_or_default();
         peer.address.instance == first_watcher
             && (cursor.incarnation != peer.incarnation() || cursor.number < peer.relay_number)
@@ -308,13 +308,13 @@
 }
 
 /// Asks the watchers of the own domain in turn until one of them has told all that is needed.
-async fn ask_watchers(gateway: Rc<Gateway>) {
+async fn fetch_from_watchers(gateway: Rc<Gateway>) {
     let mut round = 0;
     while gateway.relies_on_peers() && !gateway.knows_all() {
-        let watchers = own_standbys(&gateway);
+        let watchers = standby_peers(&gateway);
         let Some(watcher) = watchers.get(round % watchers.len().max(1)) else { return };
-        gateway.fetch_news(watcher.relay_address).await;
+        gateway.fetch_updates(watcher.relay_address).await;
         round += 1;
-        tokio::time::sleep(FIRST_FETCH_PAUSE).await;
+        tokio::time::sleep(STARTUP_FETCH_INTERVAL).await;
     }
 }
--- a/crates/bergamotpitch-gateway/src/tallies.rs
+++ b/crates/bergamotpitch-gateway/src/team_counters.rs
@@ -22,46 +22,46 @@
 use crate::gateways::Gateway;
 use crate::logs::decision;
 
-/// `TALLY_INTERVAL` is the time between two writings.
-const TALLY_INTERVAL: Duration = Duration::from_secs(1);
+/// `LOG_INTERVAL` is the time between two writings.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// `TEAMS_A_TALLY` bounds how many teams are written, those first that asked most.
-const TEAMS_A_TALLY: usize = 12;
+/// `LOGGED_TEAMS_MAX` bounds how many teams are written, those first that asked most.
+const LOGGED_TEAMS_MAX: usize = 12;
 
-/// `WAITING_TEAMS` bounds how many teams that wait are written, those first that had least.
-const WAITING_TEAMS: usize = 8;
+/// `LOGGED_WAITING_TEAMS_MAX` bounds how many teams that wait are written, those first that had least.
+const LOGGED_WAITING_TEAMS_MAX: usize = 8;
 
-/// `Tallies` is the table of all teams since it was last written.
+/// `TeamCounters` is the table of all teams since it was last written.
 #[derive(Debug, Default)]
-pub struct Tallies {
-    teams: RefCell<HashMap<TeamId, Tally>>,
-    written: Cell<Timestamp>,
+pub struct TeamCounters {
+    teams: RefCell<HashMap<TeamId, Counters>>,
+    last_logged: Cell<Timestamp>,
 }
 
-/// `Tally` is what a team asked for and was given.
+/// `Counters` is what a team asked for and was given.
 #[derive(Debug, Default)]
-struct Tally {
+struct Counters {
     team: String,
     asked_tokens: u64,
     sent_tokens: u64,
     refused_tokens: BTreeMap<&'static str, u64>,
 }
 
-impl Tallies {
+impl TeamCounters {
     /// `note_asked` counts a request that has come in.
     pub fn note_asked(&self, team: &Team, tokens: u64) {
-        self.change(team, |tally| tally.asked_tokens += tokens);
+        self.change(team, |counters| counters.asked_tokens += tokens);
     }
 
     /// `note_sent` counts a request that goes to an upstream for the first time.
     pub fn note_sent(&self, team: &Team, tokens: u64) {
-        self.change(team, |tally| tally.sent_tokens += tokens);
+        self.change(team, |counters| counters.sent_tokens += tokens);
     }
 
     /// `note_refused` counts a request that was refused.
     pub fn note_refused(&self, team: &Team, tokens: u64, reason: RefusalReason) {
-        self.change(team, |tally| {
-            *tally.refused_tokens.entry(reason.into()).or_default() += tokens;
+        self.change(team, |counters| {
+            *counters.refused_tokens.entry(reason.into()).or_default() += tokens;
         });
     }
 
@@ -70,52 +70,52 @@
     /// ```
     /// use bergamotpitch_control::traffic::catalogs::{Catalog, Team};
     /// use bergamotpitch_core::refusals::RefusalReason;
-    /// use bergamotpitch_gateway::tallies::Tallies;
+    /// use bergamotpitch_gateway::team_counters::TeamCounters;
     ///
     /// let team = Team { name: "north".to_owned(), priority: None, keys: Vec::new() };
-    /// let tallies = Tallies::default();
-    /// tallies.note_asked(&team, 700);
-    /// tallies.note_refused(&team, 700, RefusalReason::QueueFull);
+    /// let counters = TeamCounters::default();
+    /// counters.note_asked(&team, 700);
+    /// counters.note_refused(&team, 700, RefusalReason::QueueFull);
     /// let line = "team=north asked_tokens=700 sent_tokens=0 refused_tokens=700 queue_full=700";
-    /// assert_eq!(tallies.take(), [line]);
-    /// assert!(tallies.take().is_empty());
+    /// assert_eq!(counters.take(), [line]);
+    /// assert!(counters.take().is_empty());
     /// ```
     pub fn take(&self) -> Vec<String> {
-        let tallies = std::mem::take(&mut *self.teams.borrow_mut());
-        let mut tallies: Vec<Tally> = tallies.into_values().collect();
-        tallies.sort_by_key(|tally| Reverse(tally.asked_tokens));
-        tallies.truncate(TEAMS_A_TALLY);
-        tallies.iter().map(Tally::to_string).collect()
+        let team_counters = std::mem::take(&mut *self.teams.borrow_mut());
+        let mut team_counters: Vec<Counters> = team_counters.into_values().collect();
+        team_counters.sort_by_key(|counters| Reverse(counters.asked_tokens));
+        team_counters.truncate(LOGGED_TEAMS_MAX);
+        team_counters.iter().map(Counters::to_string).collect()
     }
 
     fn is_due(&self, now: Timestamp) -> bool {
-        let is_due = self.written.get() + TALLY_INTERVAL <= now;
+        let is_due = self.last_logged.get() + LOG_INTERVAL <= now;
         if is_due {
-            self.written.set(now);
+            self.last_logged.set(now);
         }
         is_due
     }
 
-    fn change(&self, team: &Team, change: impl FnOnce(&mut Tally)) {
+    fn change(&self, team: &Team, change: impl FnOnce(&mut Counters)) {
         let mut teams = self.teams.borrow_mut();
-        let tally = teams.entry(id_of_name(&team.name)).or_default();
-        if tally.team.is_empty() {
-            tally.team.clone_from(&team.name);
+        let counters = teams.entry(id_of_name(&team.name)).or_default();
+        if counters.team.is_empty() {
+            counters.team.clone_from(&team.name);
         }
-        change(tally);
+        change(counters);
     }
 }
 
-impl Tally {
-    fn all_refused(&self) -> u64 {
+impl Counters {
+    fn refused_total(&self) -> u64 {
         self.refused_tokens.values().sum()
     }
 }
 
-impl fmt::Display for Tally {
+impl fmt::Display for Counters {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { team, asked_tokens, sent_tokens, refused_tokens } = self;
-        let refused = self.all_refused();
+        let refused = self.refused_total();
         write!(
             formatter,
             "team={team} asked_tokens={asked_tokens} sent_tokens={sent_tokens} refused_tokens={refused}"
@@ -127,27 +127,28 @@
 }
 
 impl Gateway {
-    /// `write_tallies` writes what is due: what teams got here, and, where this instance decides, which
+    /// `log_team_counters` writes what is due: what teams got here, and, where this instance decides, which
     /// teams wait.
-    pub(crate) fn write_tallies(&self) {
+    pub(crate) fn log_team_counters(&self) {
         let now = self.now();
-        if !self.tallies.is_due(now) {
+        if !self.team_counters.is_due(now) {
             return;
         }
-        for line in self.tallies.take() {
+        for line in self.team_counters.take() {
             decision(EventKind::TeamTallied, format_args!("{line}"));
         }
         let decides = self.is_dispatcher() || self.role().dispatcher.is_none();
         if let Some(catalog) = self.catalog().filter(|_| decides) {
             let view = self.traffic.borrow_mut().windows.view(catalog.pool_tokens_per_s, now);
             self.metrics.note_sums_age(view.oldest);
-            write_waiting_teams(&catalog, &view);
+            log_waiting_teams(&catalog, &view);
         }
     }
 }
 
-fn write_waiting_teams(catalog: &Catalog, view: &SharesView) {
-    for WaitingTeam { team, counts, is_needy } in view.waiting.iter().take(WAITING_TEAMS) {
+fn log_waiting_teams(catalog: &Catalog, view: &SharesView) {
+    for WaitingTeam { team, counts, is_needy } in view.waiting.iter().take(LOGGED_WAITING_TEAMS_MAX)
+    {
         let known = catalog.teams().find(|known| id_of_name(&known.name) == *team);
         decision(
             EventKind::TeamWaits,
--- a/crates/bergamotpitch-gateway/src/upstreams.rs
+++ b/crates/bergamotpitch-gateway/src/upstreams.rs
@@ -30,7 +30,7 @@
         }
         traffic.forget_gone();
         drop(traffic);
-        self.note_change_of_load();
+        self.mark_load_changed();
     }
 
     /// `upstream_listed` takes in an entry of the list.
@@ -61,7 +61,7 @@
             ),
             Change::Gone(key, id) => {
                 self.pools.close_all_of(*key);
-                self.store_news.relay.borrow_mut().upstream_gone(id);
+                self.store_updates.relay.borrow_mut().upstream_gone(id);
                 decision(EventKind::UpstreamGone, format_args!("upstream={id}"));
             }
         }
@@ -109,8 +109,8 @@
         self.pools.close_all_of(key);
     }
 
-    /// `take_in_loads` takes in what a peer has in hand; where it tells of nothing it has nothing.
-    pub fn take_in_loads(
+    /// `update_peer_loads` takes in what a peer has in hand; where it tells of nothing it has nothing.
+    pub fn update_peer_loads(
         &self,
         peer: InstanceId,
         figures: &HashMap<UpstreamId, Figures>,
@@ -123,21 +123,21 @@
         let known = |(life, figures): (&UpstreamId, &Figures)| {
             Some((traffic.registry.key_of_life(*life)?, *figures))
         };
-        let told: HashMap<UpstreamKey, Figures> = figures.iter().filter_map(known).collect();
+        let loads: HashMap<UpstreamKey, Figures> = figures.iter().filter_map(known).collect();
         let before = self.told_upstreams.borrow_mut().remove(&peer).unwrap_or_default();
-        for key in before.iter().filter(|key| !told.contains_key(*key)) {
+        for key in before.iter().filter(|key| !loads.contains_key(*key)) {
             traffic.load(*key).peer_heard(peer, Figures::default(), now);
         }
-        for (key, figures) in &told {
+        for (key, figures) in &loads {
             traffic.load(*key).peer_heard(peer, *figures, now);
         }
-        if !told.is_empty() {
-            self.told_upstreams.borrow_mut().insert(peer, told.into_keys().collect());
+        if !loads.is_empty() {
+            self.told_upstreams.borrow_mut().insert(peer, loads.into_keys().collect());
         }
     }
 
-    /// `take_in_leaving` takes in of which upstreams a peer knows that they leave.
-    pub fn take_in_leaving(&self, leaving: &[UpstreamId]) {
+    /// `mark_leaving_upstreams` takes in of which upstreams a peer knows that they leave.
+    pub fn mark_leaving_upstreams(&self, leaving: &[UpstreamId]) {
         if leaving.is_empty() {
             return;
         }
--- a/crates/bergamotpitch-gateway/tests/dispatched_requests.rs
+++ b/crates/bergamotpitch-gateway/tests/dispatched_requests.rs
@@ -12,7 +12,7 @@
 use bergamotpitch_core::ids::InstanceId;
 use bergamotpitch_gateway::Gateway;
 use bergamotpitch_gateway::messages::{
-    AskBody, Body, Message, NoteEvent, Reply, ReplyOutcome, decode, encode,
+    Body, Message, PlacementRequestBody, ProgressEvent, Reply, ReplyOutcome, decode, encode,
 };
 use bergamotpitch_gateway::peers::PeerAddress;
 use common::{FakeUpstream, ask, prompt, run, start_small, whole};
@@ -56,15 +56,16 @@
         }
     }
 
-    async fn next_ask(&self) -> AskBody {
-        self.next(|body| if let Body::Ask(ask) = body { Some(ask) } else { None }).await
+    async fn next_placement_request(&self) -> PlacementRequestBody {
+        self.next(|body| if let Body::PlacementRequest(ask) = body { Some(ask) } else { None })
+            .await
     }
 
     /// What becomes next of a granted request.
-    async fn next_event(&self, number: RequestNumber) -> NoteEvent {
+    async fn next_event(&self, number: RequestNumber) -> ProgressEvent {
         let event_of = |body| {
-            let Body::Progress(notes) = body else { return None };
-            notes.iter().find(|note| note.number == number).map(|note| note.event)
+            let Body::Progress(reports) = body else { return None };
+            reports.iter().find(|report| report.number == number).map(|report| report.event)
         };
         self.next(event_of).await
     }
@@ -106,17 +107,17 @@
 /// Guards against deciders that take a team for one that asks twice as much, as its requests are asked
 /// for again after another domain had less room than it told.
 #[test]
-fn counted_once() {
+fn forwarded_request_counted_once() {
     run(async {
         let upstream = FakeUpstream::start(Box::new(|_| vec![whole("200 OK", "done")])).await;
         let (_gateway, address, dispatcher, remote) = domain_of_two(&upstream).await;
         let caller = tokio::task::spawn_local(ask(address, prompt("a")));
-        let first = dispatcher.next_ask().await;
-        assert!(first.is_first && first.may_go_on);
+        let first = dispatcher.next_placement_request().await;
+        assert!(first.is_first && first.may_forward);
         dispatcher.reply(first.number, ReplyOutcome::Waits).await;
         remote.reply(first.number, FULL).await;
-        let second = dispatcher.next_ask().await;
-        assert!(!second.may_go_on, "it was handed on already");
+        let second = dispatcher.next_placement_request().await;
+        assert!(!second.may_forward, "it was handed on already");
         assert!(!second.is_first, "the same request counts a second time");
         dispatcher.reply(second.number, FULL).await;
         let refused = caller.await.unwrap().unwrap();
@@ -128,13 +129,13 @@
 
 /// Guards against requests that fail or wait with a dispatcher that was killed or cut off.
 #[test]
-fn silent_dispatcher() {
+fn unresponsive_dispatcher() {
     run(async {
         let upstream = FakeUpstream::start(Box::new(|_| vec![whole("200 OK", "done")])).await;
         let (gateway, address, dispatcher, _remote) = domain_of_two(&upstream).await;
         let caller = tokio::task::spawn_local(ask(address, prompt("a")));
-        let first = dispatcher.next_ask().await;
-        let again = dispatcher.next_ask().await;
+        let first = dispatcher.next_placement_request().await;
+        let again = dispatcher.next_placement_request().await;
         assert_eq!(first.number, again.number, "single datagrams are lost");
         assert_eq!(caller.await.unwrap().unwrap().status, 200);
         assert_eq!(ask(address, prompt("b")).await.unwrap().status, 200);
@@ -160,10 +161,10 @@
         let upstream = FakeUpstream::start(Box::new(|_| vec![whole("200 OK", "done")])).await;
         let (gateway, address, dispatcher, _remote) = domain_of_two(&upstream).await;
         let caller = tokio::task::spawn_local(ask(address, prompt("a")));
-        let first = dispatcher.next_ask().await;
+        let first = dispatcher.next_placement_request().await;
         assert_eq!(caller.await.unwrap().unwrap().status, 200);
         dispatcher.reply(first.number, granted(&gateway)).await;
-        assert_eq!(dispatcher.next_event(first.number).await, NoteEvent::Dropped);
+        assert_eq!(dispatcher.next_event(first.number).await, ProgressEvent::Dropped);
         assert_eq!(upstream.count(), 1);
     });
 }
@@ -175,12 +176,12 @@
         let upstream = FakeUpstream::start(Box::new(|_| vec![whole("200 OK", "done")])).await;
         let (gateway, address, dispatcher, _remote) = domain_of_two(&upstream).await;
         let caller = tokio::task::spawn_local(ask(address, prompt("a")));
-        let first = dispatcher.next_ask().await;
+        let first = dispatcher.next_placement_request().await;
         dispatcher.reply(first.number, granted(&gateway)).await;
         assert_eq!(caller.await.unwrap().unwrap().status, 200);
-        let told = dispatcher
-            .next(|body| if let Body::Progress(notes) = body { Some(notes) } else { None });
-        let events: Vec<NoteEvent> = told.await.iter().map(|note| note.event).collect();
-        assert_eq!(events, [NoteEvent::Begun, NoteEvent::Answered]);
+        let reported = dispatcher
+            .next(|body| if let Body::Progress(reports) = body { Some(reports) } else { None });
+        let events: Vec<ProgressEvent> = reported.await.iter().map(|report| report.event).collect();
+        assert_eq!(events, [ProgressEvent::Begun, ProgressEvent::Answered]);
     });
 }
--- a/crates/bergamotpitch-gateway/tests/late_instances.rs
+++ b/crates/bergamotpitch-gateway/tests/lagging_instances.rs
@@ -13,17 +13,17 @@
 /// The callers of one flooding team all come to one small instance. Each request that it takes in
 /// makes all others later, until answers come after their callers have left.
 #[test]
-fn late_timers() {
+fn lagging_timers() {
     run(async {
         let upstream = FakeUpstream::start(Box::new(|_| vec![whole("200 OK", "done")])).await;
         let (gateway, address) = start(&[&upstream]).await;
         assert_eq!(ask(address, request("GET", "/safe/", "a")).await.unwrap().status, 200);
-        (0..30).for_each(|_| gateway.lateness.note(Duration::from_secs(1)));
+        (0..30).for_each(|_| gateway.loop_lag.note(Duration::from_secs(1)));
         assert!(!gateway.is_ready(), "the balancer goes on sending callers");
         let got = ask(address, request("GET", "/safe/", "b")).await.unwrap();
         assert_eq!((got.status, upstream.count()), (503, 1));
         assert_eq!(got.headers["connection"], "close");
-        (0..60).for_each(|_| gateway.lateness.note(Duration::ZERO));
+        (0..60).for_each(|_| gateway.loop_lag.note(Duration::ZERO));
         assert!(gateway.is_ready());
         assert_eq!(ask(address, request("GET", "/safe/", "c")).await.unwrap().status, 200);
     });
@@ -33,17 +33,17 @@
 /// callers of one flooding team all come to it. While it goes on asking for callers, that team gets a
 /// fraction of what a team gets whose callers come to many instances.
 #[test]
-fn steady_lateness() {
+fn steady_lag() {
     run(async {
         let upstream = FakeUpstream::start(Box::new(|_| vec![whole("200 OK", "done")])).await;
         let (gateway, address) = start(&[&upstream]).await;
-        (0..40).for_each(|_| gateway.lateness.note(Duration::from_millis(60)));
+        (0..40).for_each(|_| gateway.loop_lag.note(Duration::from_millis(60)));
         assert!(!gateway.is_ready(), "the balancer goes on sending callers");
         // Whoever is here already is served: nothing is refused for this.
         assert_eq!(ask(address, request("GET", "/safe/", "a")).await.unwrap().status, 200);
         // One late timer, as when the machine was busy for a moment, changes nothing.
-        (0..60).for_each(|_| gateway.lateness.note(Duration::ZERO));
-        gateway.lateness.note(Duration::from_millis(300));
+        (0..60).for_each(|_| gateway.loop_lag.note(Duration::ZERO));
+        gateway.loop_lag.note(Duration::from_millis(300));
         assert!(gateway.is_ready());
     });
 }
--- a/crates/bergamotpitch-gateway/tests/outdated_instances.rs
+++ b/crates/bergamotpitch-gateway/tests/outdated_instances.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bergamotpitch_gateway::Gateway;
-use bergamotpitch_gateway::messages::{Beat, Body, Message, encode};
+use bergamotpitch_gateway::messages::{Body, Heartbeat, Message, encode};
 use bergamotpitch_gateway::peers::PeerAddress;
 use common::{FakeUpstream, ask, catalog, closed_port, request, run, start, whole};
 use tokio::net::UdpSocket;
@@ -15,7 +15,7 @@
 const PEER: u32 = 7;
 
 /// Puts a peer beside the gateway that can't be asked for anything, and lets it tell of a version.
-async fn hear_version(gateway: &Rc<Gateway>, relay_address: SocketAddr, version: u64) {
+async fn receive_version(gateway: &Rc<Gateway>, relay_address: SocketAddr, version: u64) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     gateway.replace_peers(vec![PeerAddress {
         instance: PEER,
@@ -24,8 +24,8 @@
         relay_address,
         processor_millis: 1_000,
     }]);
-    let beat = Beat { sequence: 1, version, parts: 1, ..Beat::default() };
-    let message = Message { instance: PEER, incarnation: 1, body: Body::Beat(beat) };
+    let heartbeat = Heartbeat { sequence: 1, version, parts: 1, ..Heartbeat::default() };
+    let message = Message { instance: PEER, incarnation: 1, body: Body::Heartbeat(heartbeat) };
     let address = gateway.options.beat_address;
     socket.send_to(&encode(&message).unwrap(), address).await.unwrap();
     while gateway.peers.borrow()[&PEER].version != version {
@@ -47,9 +47,9 @@
             let allowed = ask(address, request("GET", "/safe/", "c")).await.unwrap();
             [new_route.status, new_team.status, allowed.status]
         };
-        hear_version(&gateway, relay_address, 1).await;
+        receive_version(&gateway, relay_address, 1).await;
         assert_eq!(statuses().await, [404, 401, 200]);
-        hear_version(&gateway, relay_address, 2).await;
+        receive_version(&gateway, relay_address, 2).await;
         assert_eq!(statuses().await, [503, 503, 200]);
         let refused = ask(address, request("GET", "/new/", "d")).await.unwrap();
         assert!(refused.body.contains("not_ready"), "{}", refused.body);
--- a/crates/bergamotpitch-gateway/tests/peer_news.rs
+++ b/crates/bergamotpitch-gateway/tests/peer_reports.rs
@@ -11,8 +11,8 @@
 use bergamotpitch_core::HashMap;
 use bergamotpitch_core::ids::UpstreamId;
 use bergamotpitch_gateway::Gateway;
-use bergamotpitch_gateway::beats;
-use bergamotpitch_gateway::messages::{Beat, Body, decode};
+use bergamotpitch_gateway::heartbeats;
+use bergamotpitch_gateway::messages::{Body, Heartbeat, decode};
 use bergamotpitch_gateway::peers::PeerAddress;
 use common::{FakeUpstream, registration, run, start, whole};
 use tokio::net::UdpSocket;
@@ -33,7 +33,7 @@
 /// start goes on saying that it leaves, and what it had in hand there. Taken for the new life, this
 /// would keep a sound upstream idle for good.
 #[test]
-fn earlier_life() {
+fn earlier_incarnation() {
     run(async {
         let upstream = FakeUpstream::start(Box::new(|_| vec![whole("200 OK", "done")])).await;
         let (gateway, _) = start(&[&upstream]).await;
@@ -43,17 +43,17 @@
         gateway.upstream_listed(again);
         let figures = Figures { requests: 4, ..Figures::default() };
         let lines: HashMap<UpstreamId, Figures> = [(before, figures)].into_iter().collect();
-        gateway.take_in_loads(7, &lines, gateway.now());
-        gateway.take_in_leaving(&[before]);
+        gateway.update_peer_loads(7, &lines, gateway.now());
+        gateway.mark_leaving_upstreams(&[before]);
         assert!(takes_work(&gateway));
         let options = gateway.options.admission.loads;
         let now = gateway.now();
-        let in_hand: u32 = {
+        let in_flight: u32 = {
             let traffic = gateway.traffic.borrow();
             traffic.loads().map(|(_, load)| load.figures(now, &options).requests).sum()
         };
-        assert_eq!(in_hand, 0);
-        gateway.take_in_leaving(&[life_number(&gateway)]);
+        assert_eq!(in_flight, 0);
+        gateway.mark_leaving_upstreams(&[life_number(&gateway)]);
         assert!(!takes_work(&gateway));
     });
 }
@@ -71,19 +71,21 @@
 }
 
 /// The next beat that arrives.
-async fn beat_from(socket: &UdpSocket) -> Beat {
+async fn heartbeat_from(socket: &UdpSocket) -> Heartbeat {
     let mut buffer = [0; 4_000];
     let length = socket.recv(&mut buffer).await.unwrap();
     assert!(length <= 1_400, "{length} bytes are cut on the way");
-    let Body::Beat(beat) = decode(&buffer[..length]).unwrap().body else { panic!("no beat") };
-    beat
+    let Body::Heartbeat(heartbeat) = decode(&buffer[..length]).unwrap().body else {
+        panic!("no beat")
+    };
+    heartbeat
 }
 
 /// Callers of a flooding team reach one instance, which sends more starts of prompts than one
 /// datagram tells. If the beat were left out or cut anywhere, peers would not learn what runs where,
 /// and fill the same engines.
 #[test]
-fn crowded_beat() {
+fn oversized_heartbeat() {
     run(async {
         let upstream = FakeUpstream::start(Box::new(|_| vec![whole("200 OK", "done")])).await;
         let (gateway, _) = start(&[&upstream]).await;
@@ -102,10 +104,10 @@
                 traffic.starts.sent(StartNote { start, tokens, upstream: life, used: now });
             }
         }
-        beats::send_beat(&gateway, 1);
-        let beat = beat_from(&listener).await;
-        assert_eq!(beat.loads.len(), 1);
-        let starts = beat.starts.len();
-        assert!((40..500).contains(&starts), "{starts}");
+        heartbeats::send_heartbeat(&gateway, 1);
+        let heartbeat = heartbeat_from(&listener).await;
+        assert_eq!(heartbeat.loads.len(), 1);
+        let prefixes = heartbeat.prefixes.len();
+        assert!((40..500).contains(&prefixes), "{prefixes}");
     });
 }
