--- a/crates/bergamotpitch-control/src/traffic.rs
+++ b/crates/bergamotpitch-control/src/traffic.rs
@@ -2,7 +2,7 @@
 //!
 //! Every module here is a table or a decision without I/O and without a clock: the caller hands
 //! over the time as a [`Timestamp`](bergamotpitch_core::units::Timestamp). The arrows point one
-//! way: [`admissions`] reads the tables, none of which knows another, and [`waiting_asks`] asks it.
+//! way: [`admissions`] reads the tables, none of which knows another, and [`placement_queues`] asks it.
 
 pub mod admissions;
 pub mod catalogs;
@@ -12,13 +12,13 @@
 pub mod engine_speeds;
 pub mod evidences;
 pub mod facts;
-pub mod fits;
 pub mod grants;
-pub mod needs;
+pub mod placement_queues;
 pub mod policies;
 pub mod prefixes;
 pub mod registries;
+pub mod request_demands;
 pub mod retry_budgets;
 pub mod starts;
 pub mod team_windows;
-pub mod waiting_asks;
+pub mod upstream_candidates;
--- a/crates/bergamotpitch-control/src/traffic/admissions.rs
+++ b/crates/bergamotpitch-control/src/traffic/admissions.rs
@@ -18,14 +18,16 @@
 use crate::traffic::engine_speeds::EngineSpeed;
 use crate::traffic::evidences::Evidence;
 use crate::traffic::facts::RequestFacts;
-use crate::traffic::fits::{Distance, Fill, Fit, Look, millis};
-use crate::traffic::needs::{Needs, Reading};
 use crate::traffic::policies::Policy;
 use crate::traffic::prefixes::KeptParts;
 use crate::traffic::registries::{Registry, Upstream, UpstreamKey};
+use crate::traffic::request_demands::{PrefillPlan, RequestDemand};
 use crate::traffic::retry_budgets::{self, RetryBudget};
 use crate::traffic::starts::{StartNote, Starts};
-use crate::traffic::team_windows::{self, Standing, TeamWindows};
+use crate::traffic::team_windows::{self, ShareClass, TeamWindows};
+use crate::traffic::upstream_candidates::{
+    Distance, Fit, UpstreamCandidate, UtilizationLimits, millis,
+};
 
 /// `Options` of the decision.
 #[derive(Debug, Clone)]
@@ -46,11 +48,11 @@
     pub remote_round_trip: Duration,
     /// How full upstreams may be for requests within their team's share, and for those of a needy
     /// team.
-    pub within_share: Fill,
+    pub within_share: UtilizationLimits,
     /// How full they may be for requests within an even part of what the engines give besides.
-    pub even_surplus: Fill,
+    pub even_surplus: UtilizationLimits,
     /// How full they may be for requests of a team that had more than others that wait.
-    pub beyond_even: Fill,
+    pub beyond_even: UtilizationLimits,
 }
 
 impl Default for Options {
@@ -64,40 +66,40 @@
             retries: retry_budgets::Options::default(),
             // The slowest link between regions that operators name takes 12 ms one way.
             remote_round_trip: Duration::from_millis(26),
-            within_share: Fill {
-                target_part: 0.8,
-                others_part: 0.4,
-                may_pause: true,
-                slots_part: 0.95,
-                memory_part: 0.9,
+            within_share: UtilizationLimits {
+                target_fraction: 0.8,
+                others_fraction: 0.4,
+                may_pause_streams: true,
+                slots_fraction: 0.95,
+                memory_fraction: 0.9,
             },
-            even_surplus: Fill {
-                target_part: 0.35,
-                others_part: 0.0,
-                may_pause: false,
-                slots_part: 0.7,
-                memory_part: 0.75,
+            even_surplus: UtilizationLimits {
+                target_fraction: 0.35,
+                others_fraction: 0.0,
+                may_pause_streams: false,
+                slots_fraction: 0.7,
+                memory_fraction: 0.75,
             },
-            beyond_even: Fill {
-                target_part: 0.2,
-                others_part: 0.0,
-                may_pause: false,
-                slots_part: 0.5,
-                memory_part: 0.6,
+            beyond_even: UtilizationLimits {
+                target_fraction: 0.2,
+                others_fraction: 0.0,
+                may_pause_streams: false,
+                slots_fraction: 0.5,
+                memory_fraction: 0.6,
             },
         }
     }
 }
 
-/// `SHORTEST_RETURN` and `LONGEST_RETURN` bound the time after which a caller should come back.
-const SHORTEST_RETURN: Duration = Duration::from_millis(40);
+/// `RETRY_AFTER_MIN` and `RETRY_AFTER_MAX` bound the time after which a caller should come back.
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(40);
 
-/// `LONGEST_RETURN` see [`SHORTEST_RETURN`].
-const LONGEST_RETURN: Duration = Duration::from_millis(2_000);
+/// `RETRY_AFTER_MAX` see [`RETRY_AFTER_MIN`].
+const RETRY_AFTER_MAX: Duration = Duration::from_millis(2_000);
 
-/// `NO_UPSTREAM_RETURN` is when to come back while no upstream takes work; entries of upstreams
+/// `NO_UPSTREAM_RETRY_AFTER` is when to come back while no upstream takes work; entries of upstreams
 /// change within about a second.
-const NO_UPSTREAM_RETURN: Duration = Duration::from_millis(1_000);
+const NO_UPSTREAM_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
 /// `Scope` tells among which upstreams of its service a request is placed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -109,9 +111,9 @@
     Domain,
 }
 
-/// `Ask` is one request that wants an upstream.
+/// `PlacementRequest` is one request that wants an upstream.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct PlacementRequest<'a> {
     /// Service that its route sends it to.
     pub service: &'a str,
     /// What the request says.
@@ -136,17 +138,17 @@
     pub scope: Scope,
 }
 
-/// `Choice` is the decision.
+/// `Decision` is the decision.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Choice {
+pub enum Decision {
     /// It goes to this upstream now.
     Send(Placement),
     /// It fits nowhere.
     Full {
         /// When it is worth asking again.
-        after: Duration,
+        retry_after: Duration,
         /// How it stands against its team's share.
-        standing: Standing,
+        share_class: ShareClass,
         /// Requests at the upstream that has fewest.
         least_requests: u32,
     },
@@ -154,9 +156,9 @@
     NoUpstream(Duration),
 }
 
-/// `Room` is for how many more requests there is a place.
+/// `Headroom` is for how many more requests there is a place.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Room {
+pub struct Headroom {
     /// Requests within their team's share.
     pub within_share: u32,
     /// Requests beyond it.
@@ -175,7 +177,7 @@
     /// Requests that the upstream had in hand.
     pub requests: u32,
     /// How the request stands against its team's share.
-    pub standing: Standing,
+    pub share_class: ShareClass,
     /// Place of the upstream in the rendezvous order for the prompt's shared start, of the first
     /// two.
     pub rank: Option<usize>,
@@ -195,7 +197,7 @@
     /// Engines at which starts of prompts were read lately.
     pub starts: Starts,
     domain_number: DomainId,
-    near_numbers: Vec<DomainId>,
+    near_domain_numbers: Vec<DomainId>,
     states: HashMap<UpstreamKey, UpstreamState>,
     speeds: HashMap<String, EngineSpeed>,
     budgets: HashMap<String, RetryBudget>,
@@ -218,7 +220,11 @@
         let windows = TeamWindows::new(options.windows);
         Self {
             domain_number: id_of_name(&options.domain),
-            near_numbers: options.near_domains.iter().map(|domain| id_of_name(domain)).collect(),
+            near_domain_numbers: options
+                .near_domains
+                .iter()
+                .map(|domain| id_of_name(domain))
+                .collect(),
             options,
             registry: Registry::default(),
             windows,
@@ -229,9 +235,9 @@
         }
     }
 
-    /// `forget_gone` drops what is kept on upstreams that are gone, but for those at which requests
+    /// `remove_gone_upstreams` drops what is kept on upstreams that are gone, but for those at which requests
     /// of this instance still run.
-    pub fn forget_gone(&mut self) {
+    pub fn remove_gone_upstreams(&mut self) {
         let registry = &self.registry;
         self.states.retain(|key, state| {
             registry.get(*key).is_some() || state.load.own_figures().requests != 0
@@ -271,35 +277,35 @@
         &mut self.states.entry(key).or_default().evidence
     }
 
-    /// `silence` returns the time since the last byte of an upstream.
-    pub fn silence(&self, key: UpstreamKey, now: Timestamp) -> Duration {
+    /// `time_since_last_byte` returns the time since the last byte of an upstream.
+    pub fn time_since_last_byte(&self, key: UpstreamKey, now: Timestamp) -> Duration {
         self.states.get(&key).map_or(Duration::MAX, |state| state.evidence.silence(now))
     }
 
-    /// `room` returns how many more requests within their team's share, and beyond it, the own
+    /// `headroom` returns how many more requests within their team's share, and beyond it, the own
     /// domain's upstreams of a service take whose first events come within `wait`.
-    pub fn room(&self, service: &str, wait: Duration, now: Timestamp) -> Room {
+    pub fn headroom(&self, service: &str, wait: Duration, now: Timestamp) -> Headroom {
         let options = &self.options.loads;
         let speed = self.speed(service);
         let keys = self.registry.of_service(service).iter();
         let upstreams = keys.filter_map(|key| self.registry.get(*key));
         let open = upstreams
             .filter(|upstream| upstream.takes_work() && self.is_in_scope(upstream, Scope::Domain));
-        let unknown = UpstreamState::default();
-        let mut room = Room::default();
+        let default_state = UpstreamState::default();
+        let mut headroom = Headroom::default();
         for upstream in open {
-            let state = self.states.get(&upstream.key).unwrap_or(&unknown);
+            let state = self.states.get(&upstream.key).unwrap_or(&default_state);
             let figures = state.load.figures(now, options);
-            let free = |fill: &Fill| {
-                let is_late =
-                    fill.target_part * millis(wait) < speed.time_ms(figures.unread_tokens.max(0.0));
-                let slots = (f64::from(upstream.registration.slots) * fill.slots_part) as u32;
+            let free = |limits: &UtilizationLimits| {
+                let is_late = limits.target_fraction * millis(wait)
+                    < speed.time_ms(figures.unread_tokens.max(0.0));
+                let slots = (f64::from(upstream.registration.slots) * limits.slots_fraction) as u32;
                 if is_late { 0 } else { slots.saturating_sub(figures.requests) }
             };
-            room.within_share += free(&self.options.within_share);
-            room.beyond_share += free(&self.options.even_surplus);
+            headroom.within_share += free(&self.options.within_share);
+            headroom.beyond_share += free(&self.options.even_surplus);
         }
-        room
+        headroom
     }
 
     /// `budget` returns the retry budget of a service.
@@ -310,75 +316,77 @@
         self.budgets.entry(service.to_owned()).or_default()
     }
 
-    /// `choose` decides on a request; it changes nothing.
-    pub fn choose(&mut self, ask: &Ask<'_>, now: Timestamp) -> Choice {
-        let standing = self.standing(ask, now);
-        let fill = match standing {
-            Standing::WithinShare | Standing::Needy => self.options.within_share,
-            Standing::EvenSurplus => self.options.even_surplus,
-            Standing::BeyondEven => self.options.beyond_even,
+    /// `choose_upstream` decides on a request; it changes nothing.
+    pub fn choose_upstream(&mut self, request: &PlacementRequest<'_>, now: Timestamp) -> Decision {
+        let share_class = self.share_class(request, now);
+        let limits = match share_class {
+            ShareClass::WithinShare | ShareClass::Underserved => self.options.within_share,
+            ShareClass::EvenSurplus => self.options.even_surplus,
+            ShareClass::BeyondEven => self.options.beyond_even,
         };
-        let candidates = self.candidates(ask, now);
+        let candidates = self.candidates(request, now);
         if candidates.is_empty() {
-            return Choice::NoUpstream(NO_UPSTREAM_RETURN);
+            return Decision::NoUpstream(NO_UPSTREAM_RETRY_AFTER);
         }
-        let needs = self.needs(ask, &candidates, now);
-        let unknown = UpstreamState::default();
+        let demand = self.demand(request, &candidates, now);
+        let default_state = UpstreamState::default();
         let mut best: Option<(f64, Placement)> = None;
-        let mut least_excess = LONGEST_RETURN;
+        let mut least_excess = RETRY_AFTER_MAX;
         let mut least_requests = u32::MAX;
         for upstream in &candidates {
-            let state = self.states.get(&upstream.key).unwrap_or(&unknown);
-            let seen = self.look(upstream, state, ask, &needs, now);
-            least_requests = least_requests.min(seen.figures.requests);
-            match seen.fit(ask, &fill, &self.options.policy) {
+            let state = self.states.get(&upstream.key).unwrap_or(&default_state);
+            let candidate = self.evaluate_candidate(upstream, state, request, &demand, now);
+            least_requests = least_requests.min(candidate.figures.requests);
+            match candidate.fit(request, &limits, &self.options.policy) {
                 Fit::Fits => {
-                    let score = seen.score(ask, &self.options.policy);
+                    let score = candidate.score(request, &self.options.policy);
                     if best.as_ref().is_none_or(|(least, _)| score < *least) {
-                        best = Some((score, placement_of_look(&seen, standing)));
+                        best = Some((score, placement_at(&candidate, share_class)));
                     }
                 }
                 Fit::Excess(excess) => least_excess = least_excess.min(excess),
             }
         }
         match best {
-            Some((_, placement)) => Choice::Send(placement),
-            None => {
-                Choice::Full { after: least_excess.max(SHORTEST_RETURN), standing, least_requests }
-            }
+            Some((_, placement)) => Decision::Send(placement),
+            None => Decision::Full {
+                retry_after: least_excess.max(RETRY_AFTER_MIN),
+                share_class,
+                least_requests,
+            },
         }
     }
 
-    /// `send` takes in that a request goes where [`Traffic::choose`] placed it.
+    /// `send` takes in that a request goes where [`Traffic::choose_upstream`] placed it.
     pub fn send(
         &mut self,
-        request: RequestNumber,
+        number: RequestNumber,
         placement: &Placement,
-        ask: &Ask<'_>,
+        request: &PlacementRequest<'_>,
         now: Timestamp,
     ) {
         let key = placement.upstream;
         let slots = self.registry.get(key).map_or(1, |upstream| upstream.registration.slots);
         let options = self.options.loads;
-        let capacity = Capacity { slots, speed: self.speed(ask.service) };
+        let capacity = Capacity { slots, speed: self.speed(request.service) };
         let state = self.states.entry(key).or_default();
-        state.load.send(request, placement.work, &capacity, now, &options);
+        state.load.send(number, placement.work, &capacity, now, &options);
         state.evidence.note_trial(now);
-        if !ask.facts.is_generation() {
+        if !request.facts.is_generation() {
             return;
         }
-        let running = state.load.figures(now, &options).memory_tokens;
-        let room_tokens = ask.memory_tokens.saturating_sub(running);
-        state.kept.note(&ask.facts.prefix, room_tokens);
-        self.note_start(key, ask.facts, now);
-        if let Some(team) = ask.team {
-            self.windows.note_begun(team, ask.facts.pool_tokens(), now);
+        let used_tokens = state.load.figures(now, &options).memory_tokens;
+        let free_tokens = request.memory_tokens.saturating_sub(used_tokens);
+        state.kept.note(&request.facts.prefix, free_tokens);
+        self.record_prefix(key, request.facts, now);
+        if let Some(team) = request.team {
+            self.windows.record_dispatch(team, request.facts.pool_tokens(), now);
         }
     }
 
     /// `begun` takes in the first event of a request, or the answer of a plain call.
-    pub fn begun(&mut self, key: UpstreamKey, request: RequestNumber, now: Timestamp) {
-        let Some(event) = self.load(key).begun(request, now) else { return };
+    pub fn begun(&mut self, key: UpstreamKey, number: RequestNumber, now: Timestamp) {
+        let Some(event) = self.load(key).begun(number, now) else { return };
         let Some(upstream) = self.registry.get(key) else { return };
         if event.tells_speed() && self.options.policy.learned_speeds {
             let service = &upstream.registration.service;
@@ -388,44 +396,44 @@
         }
     }
 
-    fn note_start(&mut self, key: UpstreamKey, facts: &RequestFacts, now: Timestamp) {
-        let (Some(start), Some(upstream)) = (facts.shared_start(), self.registry.get(key)) else {
+    fn record_prefix(&mut self, key: UpstreamKey, facts: &RequestFacts, now: Timestamp) {
+        let (Some(prefix), Some(upstream)) = (facts.shared_prefix(), self.registry.get(key)) else {
             return;
         };
         let tokens = u32::try_from(facts.shared_tokens()).unwrap_or(u32::MAX);
         let upstream = upstream.life_number;
-        self.starts.sent(StartNote { start, tokens, upstream, used: now });
+        self.starts.sent(StartNote { start: prefix, tokens, upstream, used: now });
     }
 
-    fn standing(&mut self, ask: &Ask<'_>, now: Timestamp) -> Standing {
-        let Some(team) = ask.team else { return Standing::WithinShare };
-        if !ask.facts.is_generation() || !self.options.policy.team_shares {
-            return Standing::WithinShare;
+    fn share_class(&mut self, request: &PlacementRequest<'_>, now: Timestamp) -> ShareClass {
+        let Some(team) = request.team else { return ShareClass::WithinShare };
+        if !request.facts.is_generation() || !self.options.policy.team_shares {
+            return ShareClass::WithinShare;
         }
-        self.windows.standing(team, ask.facts.pool_tokens(), ask.pool_tokens_per_s, now)
+        self.windows.share_class(team, request.facts.pool_tokens(), request.pool_tokens_per_s, now)
     }
 
     /// Upstreams that may get the request: those with bad evidence only where no other is left, or
     /// when a trial is due.
-    fn candidates(&self, ask: &Ask<'_>, now: Timestamp) -> Vec<&Upstream> {
+    fn candidates(&self, request: &PlacementRequest<'_>, now: Timestamp) -> Vec<&Upstream> {
         let open: Vec<&Upstream> = self
             .registry
-            .of_service(ask.service)
+            .of_service(request.service)
             .iter()
-            .filter(|key| !ask.tried.contains(key))
+            .filter(|key| !request.tried.contains(key))
             .filter_map(|key| self.registry.get(*key))
-            .filter(|upstream| upstream.takes_work() && self.is_in_scope(upstream, ask.scope))
+            .filter(|upstream| upstream.takes_work() && self.is_in_scope(upstream, request.scope))
             .collect();
         if !self.options.policy.evidence {
             return open;
         }
-        let usual_rate = self.usual_failure_rate(&open);
-        let sound: Vec<&Upstream> = open
+        let median_rate = self.median_failure_rate(&open);
+        let healthy: Vec<&Upstream> = open
             .iter()
             .copied()
-            .filter(|upstream| self.is_sound(upstream.key, usual_rate, now))
+            .filter(|upstream| self.is_healthy(upstream.key, median_rate, now))
             .collect();
-        if sound.is_empty() { open } else { sound }
+        if healthy.is_empty() { open } else { healthy }
     }
 
     fn is_in_scope(&self, upstream: &Upstream, scope: Scope) -> bool {
@@ -434,23 +442,23 @@
 
     /// The failure rate of the upstream in the middle; the lower one of two. A mean would rise with
     /// the failures of a few, and hide them.
-    fn usual_failure_rate(&self, upstreams: &[&Upstream]) -> f64 {
+    fn median_failure_rate(&self, upstreams: &[&Upstream]) -> f64 {
         let rates = upstreams.iter().map(|upstream| self.failure_rate(upstream.key));
         let mut rates: Vec<f64> = rates.filter(|rate| 0.0 < *rate).collect();
-        let sound = upstreams.len() - rates.len();
+        let healthy = upstreams.len() - rates.len();
         let middle = upstreams.len().saturating_sub(1) / 2;
-        if middle < sound {
+        if middle < healthy {
             return 0.0;
         }
         rates.sort_by(f64::total_cmp);
-        rates.get(middle - sound).copied().unwrap_or_default()
+        rates.get(middle - healthy).copied().unwrap_or_default()
     }
 
     fn failure_rate(&self, key: UpstreamKey) -> f64 {
         self.states.get(&key).map_or(0.0, |state| state.evidence.failure_rate())
     }
 
-    fn is_sound(&self, key: UpstreamKey, usual_rate: f64, now: Timestamp) -> bool {
+    fn is_healthy(&self, key: UpstreamKey, median_rate: f64, now: Timestamp) -> bool {
         let Some(UpstreamState { load, evidence, .. }) = self.states.get(&key) else {
             return true;
         };
@@ -460,62 +468,67 @@
         if evidence.is_silent(now) && evidence.is_hung(load.oldest_unanswered(), now) {
             return false;
         }
-        !evidence.is_failing(usual_rate) || evidence.is_trial_due(now)
+        !evidence.is_failing(median_rate) || evidence.is_trial_due(now)
     }
 
-    fn needs(&self, ask: &Ask<'_>, candidates: &[&Upstream], now: Timestamp) -> Needs {
+    fn demand(
+        &self,
+        request: &PlacementRequest<'_>,
+        candidates: &[&Upstream],
+        now: Timestamp,
+    ) -> RequestDemand {
         let policy = &self.options.policy;
-        let mut needs = Needs::of_request(ask, self.speed(ask.service), policy);
-        let Some(start) = ask.facts.shared_start() else { return needs };
+        let mut demand = RequestDemand::of_request(request, self.speed(request.service), policy);
+        let Some(prefix) = request.facts.shared_prefix() else { return demand };
         // A dispatcher knows which engines of its domain read a start, and that none has.
-        if policy.start_order && ask.scope == Scope::Fleet {
-            needs.rank_engines(start, candidates, self.domain_number);
+        if policy.start_order && request.scope == Scope::Fleet {
+            demand.rank_engines(prefix, candidates, self.domain_number);
         }
-        needs.find_holders(start, &self.registry, &self.starts, now);
-        needs
+        demand.find_holders(prefix, &self.registry, &self.starts, now);
+        demand
     }
 
     fn distance(&self, upstream: &Upstream) -> Distance {
         if upstream.domain_number == self.domain_number {
             Distance::Own
-        } else if self.near_numbers.contains(&upstream.domain_number) {
+        } else if self.near_domain_numbers.contains(&upstream.domain_number) {
             Distance::Near
         } else {
             Distance::Far
         }
     }
 
-    fn look(
+    fn evaluate_candidate(
         &self,
         upstream: &Upstream,
         state: &UpstreamState,
-        ask: &Ask<'_>,
-        needs: &Needs,
+        request: &PlacementRequest<'_>,
+        demand: &RequestDemand,
         now: Timestamp,
-    ) -> Look {
+    ) -> UpstreamCandidate {
         let options = &self.options.loads;
-        let kept_tokens = state.kept.kept_tokens(&ask.facts.prefix);
-        let Reading { mut work, fetch_from } = needs.reading_at(upstream, kept_tokens);
-        let capacity = Capacity { slots: upstream.registration.slots, speed: needs.speed };
+        let kept_tokens = state.kept.kept_tokens(&request.facts.prefix);
+        let PrefillPlan { mut work, fetch_from } = demand.prefill_plan(upstream, kept_tokens);
+        let capacity = Capacity { slots: upstream.registration.slots, speed: demand.speed };
         let distance = self.distance(upstream);
         work.delay_ms += match distance {
             Distance::Own | Distance::Near => 0.0,
             Distance::Far => millis(self.options.remote_round_trip),
         };
         let figures = state.load.figures(now, options);
-        let own_ms = match needs.is_generation {
-            true => needs.speed.reading_ms(work.unread_tokens),
+        let service_ms = match demand.is_generation {
+            true => demand.speed.reading_ms(work.unread_tokens),
             false => state.load.plain_ms(options),
         };
-        Look {
+        UpstreamCandidate {
             key: upstream.key,
-            rank: needs.rank(upstream.key),
+            rank: demand.rank(upstream.key),
             work,
             fetch_from,
             predicted_ms: state.load.predict_ms(work, &figures, &capacity, now, options),
-            own_ms,
-            reading_ms: millis(state.load.reading_time(&figures, now))
-                + needs.speed.reading_ms(figures.unread_tokens.max(0.0) + work.unread_tokens),
+            service_ms,
+            prefill_run_ms: millis(state.load.reading_time(&figures, now))
+                + demand.speed.reading_ms(figures.unread_tokens.max(0.0) + work.unread_tokens),
             figures,
             slots: capacity.slots,
             distance,
@@ -523,14 +536,14 @@
     }
 }
 
-fn placement_of_look(seen: &Look, standing: Standing) -> Placement {
+fn placement_at(candidate: &UpstreamCandidate, share_class: ShareClass) -> Placement {
     Placement {
-        upstream: seen.key,
-        work: seen.work,
-        predicted: Duration::from_secs_f64(seen.predicted_ms / 1_000.0),
-        requests: seen.figures.requests,
-        standing,
-        rank: seen.rank,
-        fetch_from: seen.fetch_from,
+        upstream: candidate.key,
+        work: candidate.work,
+        predicted: Duration::from_secs_f64(candidate.predicted_ms / 1_000.0),
+        requests: candidate.figures.requests,
+        share_class,
+        rank: candidate.rank,
+        fetch_from: candidate.fetch_from,
     }
 }
--- a/crates/bergamotpitch-control/src/traffic/dispatchers.rs
+++ b/crates/bergamotpitch-control/src/traffic/dispatchers.rs
@@ -22,7 +22,7 @@
     /// Instances of a domain that stand by to be its dispatcher, itself among them.
     pub standbys: usize,
     /// Silence after which an instance is passed over.
-    pub silence: Duration,
+    pub heartbeat_timeout: Duration,
     /// How much longer the next group of [`Options::standbys`] instances waits for the one before it.
     pub succession_step: Duration,
 }
@@ -32,7 +32,7 @@
         Self {
             instances_min: 5,
             standbys: 3,
-            silence: Duration::from_millis(700),
+            heartbeat_timeout: Duration::from_millis(700),
             succession_step: Duration::from_millis(300),
         }
     }
@@ -46,11 +46,11 @@
     /// Thousandths of a core that it may use.
     pub processor_millis: u32,
     /// When it was heard last, or else when it was listed.
-    pub heard: Timestamp,
+    pub last_seen: Timestamp,
     /// Whether it takes part: it knows what it needs, keeps up and does not end.
-    pub is_able: bool,
+    pub is_eligible: bool,
     /// Whether it has run for some time; one that has just started knows nothing of its upstreams.
-    pub is_settled: bool,
+    pub is_warmed_up: bool,
 }
 
 impl Candidate {
@@ -61,7 +61,7 @@
     }
 
     fn preference(&self) -> (bool, bool, (Reverse<u32>, InstanceId)) {
-        (!self.is_able, !self.is_settled, self.order())
+        (!self.is_eligible, !self.is_warmed_up, self.order())
     }
 }
 
@@ -104,15 +104,18 @@
     let is_present = |place: usize, candidate: &Candidate| {
         let groups = (own_place - place - 1) / options.standbys.max(1);
         let groups = u32::try_from(groups).unwrap_or(u32::MAX);
-        now < candidate.heard + options.silence + options.succession_step.saturating_mul(groups)
+        now < candidate.last_seen
+            + options.heartbeat_timeout
+            + options.succession_step.saturating_mul(groups)
     };
     let present = before.iter().enumerate().filter(|(place, other)| is_present(*place, other));
-    let rank = present.filter(|(_, candidate)| candidate.is_able).count();
+    let rank = present.filter(|(_, candidate)| candidate.is_eligible).count();
     let is_dispatched = options.instances_min <= others.len() + 1;
     let is_standby = rank < options.standbys;
-    let heard = others.iter().filter(|candidate| now < candidate.heard + options.silence);
-    let candidates = heard.chain(is_standby.then_some(own));
+    let responsive =
+        others.iter().filter(|candidate| now < candidate.last_seen + options.heartbeat_timeout);
+    let candidates = responsive.chain(is_standby.then_some(own));
     let first = candidates.min_by_key(|candidate| candidate.preference());
-    let dispatcher = first.filter(|first| is_dispatched && first.is_able);
+    let dispatcher = first.filter(|first| is_dispatched && first.is_eligible);
     Role { dispatcher: dispatcher.map(|first| first.instance), is_standby, rank }
 }
--- a/crates/bergamotpitch-control/src/traffic/facts.rs
+++ b/crates/bergamotpitch-control/src/traffic/facts.rs
@@ -80,7 +80,7 @@
         self.prefix.iter().rev().skip(1).map(|part| u64::from(part.tokens)).sum()
     }
 
-    /// `shared_start` names the start of the prompt that other requests share, by its last part.
+    /// `shared_prefix` names the start of the prompt that other requests share, by its last part.
     ///
     /// ```
     /// use bergamotpitch_control::traffic::facts::{PromptPart, RequestFacts};
@@ -90,12 +90,12 @@
     /// assert_eq!(facts.shared_start(), Some(1));
     /// assert_eq!(RequestFacts::default().shared_start(), None);
     /// ```
-    pub fn shared_start(&self) -> Option<PartId> {
+    pub fn shared_prefix(&self) -> Option<PartId> {
         self.prefix.iter().rev().nth(1).map(|part| part.id)
     }
 
-    /// `own_tokens` returns the length of what no other request shares.
-    pub fn own_tokens(&self) -> u64 {
+    /// `unshared_tokens` returns the length of what no other request shares.
+    pub fn unshared_tokens(&self) -> u64 {
         self.prompt_tokens.saturating_sub(self.shared_tokens())
     }
 
--- a/crates/bergamotpitch-control/src/traffic/grants.rs
+++ b/crates/bergamotpitch-control/src/traffic/grants.rs
@@ -16,8 +16,8 @@
 /// `CONFIRM_INTERVAL` is the time between two confirmations of an asker.
 pub const CONFIRM_INTERVAL: Duration = Duration::from_millis(360);
 
-/// `LAPSE_TIME` is for how long a grant holds without any confirmation: some of them may be lost.
-const LAPSE_TIME: Duration = Duration::from_millis(1_200);
+/// `GRANT_TIMEOUT` is for how long a grant holds without any confirmation: some of them may be lost.
+const GRANT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// `Grant` is one request that was placed for another instance.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -32,11 +32,11 @@
 /// `Grants` is the table of all grants, by the asker and its number of the request.
 #[derive(Debug, Default)]
 pub struct Grants {
-    askers: HashMap<InstanceId, Asker>,
+    requesters: HashMap<InstanceId, Requester>,
 }
 
 #[derive(Debug, Default)]
-struct Asker {
+struct Requester {
     incarnation: Incarnation,
     grants: HashMap<RequestNumber, Grant>,
 }
@@ -44,57 +44,61 @@
 impl Grants {
     /// `count` returns how many grants are in hand.
     pub fn count(&self) -> usize {
-        self.askers.values().map(|asker| asker.grants.len()).sum()
+        self.requesters.values().map(|requester| requester.grants.len()).sum()
     }
 
-    /// `asker_heard` takes in a message of one life of an asker; it returns the grants of the life
+    /// `update_incarnation` takes in a message of one life of an asker; it returns the grants of the life
     /// before, which have ended with it.
-    pub fn asker_heard(&mut self, asker: InstanceId, incarnation: Incarnation) -> Vec<Grant> {
-        let asker = self.askers.entry(asker).or_default();
-        if incarnation <= asker.incarnation {
+    pub fn update_incarnation(
+        &mut self,
+        requester: InstanceId,
+        incarnation: Incarnation,
+    ) -> Vec<Grant> {
+        let requester = self.requesters.entry(requester).or_default();
+        if incarnation <= requester.incarnation {
             return Vec::new();
         }
-        asker.incarnation = incarnation;
-        std::mem::take(&mut asker.grants).into_values().collect()
+        requester.incarnation = incarnation;
+        std::mem::take(&mut requester.grants).into_values().collect()
     }
 
     /// `get` returns a grant.
-    pub fn get(&self, asker: InstanceId, number: RequestNumber) -> Option<&Grant> {
-        self.askers.get(&asker)?.grants.get(&number)
+    pub fn get(&self, requester: InstanceId, number: RequestNumber) -> Option<&Grant> {
+        self.requesters.get(&requester)?.grants.get(&number)
     }
 
-    /// `note` takes in that the asker's request `number` was placed, as `own_number` in the books.
-    pub fn note(
+    /// `insert` takes in that the asker's request `number` was placed, as `own_number` in the books.
+    pub fn insert(
         &mut self,
-        asker: InstanceId,
+        requester: InstanceId,
         number: RequestNumber,
         own_number: RequestNumber,
         placement: Placement,
         now: Timestamp,
     ) {
         let grant = Grant { number: own_number, placement, confirmed: now };
-        self.askers.entry(asker).or_default().grants.insert(number, grant);
+        self.requesters.entry(requester).or_default().grants.insert(number, grant);
     }
 
     /// `end` takes in that a request has ended.
-    pub fn end(&mut self, asker: InstanceId, number: RequestNumber) -> Option<Grant> {
-        self.askers.get_mut(&asker)?.grants.remove(&number)
+    pub fn end(&mut self, requester: InstanceId, number: RequestNumber) -> Option<Grant> {
+        self.requesters.get_mut(&requester)?.grants.remove(&number)
     }
 
     /// `confirm` takes in that an asker has a request in hand.
-    pub fn confirm(&mut self, asker: InstanceId, number: RequestNumber, now: Timestamp) {
-        let grants = self.askers.get_mut(&asker).map(|asker| &mut asker.grants);
+    pub fn confirm(&mut self, requester: InstanceId, number: RequestNumber, now: Timestamp) {
+        let grants = self.requesters.get_mut(&requester).map(|requester| &mut requester.grants);
         if let Some(grant) = grants.and_then(|grants| grants.get_mut(&number)) {
             grant.confirmed = now;
         }
     }
 
-    /// `lapsed` drops the grants that nobody confirms any more, and returns them.
-    pub fn lapsed(&mut self, now: Timestamp) -> Vec<Grant> {
+    /// `remove_lapsed` drops the grants that nobody confirms any more, and returns them.
+    pub fn remove_lapsed(&mut self, now: Timestamp) -> Vec<Grant> {
         let mut lapsed = Vec::new();
-        for asker in self.askers.values_mut() {
-            let is_lapsed = |grant: &Grant| grant.confirmed + LAPSE_TIME <= now;
-            let grants = asker.grants.extract_if(|_, grant| is_lapsed(grant));
+        for requester in self.requesters.values_mut() {
+            let is_lapsed = |grant: &Grant| grant.confirmed + GRANT_TIMEOUT <= now;
+            let grants = requester.grants.extract_if(|_, grant| is_lapsed(grant));
             lapsed.extend(grants.map(|(_, grant)| grant));
         }
         lapsed
@@ -105,9 +109,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HeldGrant {
     /// Who placed it.
-    pub granter: InstanceId,
+    pub grantor: InstanceId,
     /// The granter's life; a later one knows nothing of the grant.
-    pub granter_life: Incarnation,
+    pub grantor_incarnation: Incarnation,
     /// Where it was placed.
     pub placement: Placement,
     /// Whether its first event came.
--- a/crates/bergamotpitch-control/src/traffic/team_windows.rs
+++ b/crates/bergamotpitch-control/src/traffic/team_windows.rs
@@ -58,9 +58,9 @@
 /// microseconds for each team and peers' sums are older than this anyway.
 const LEVEL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// `RECENT` is the short window over which what the engines give beyond the shares is divided. Over the
+/// `RECENT_WINDOW` is the short window over which what the engines give beyond the shares is divided. Over the
 /// whole window a team that had much in a second would get next to nothing in the three after it.
-const RECENT: Duration = Duration::from_secs(1);
+const RECENT_WINDOW: Duration = Duration::from_secs(1);
 
 /// `TeamCounts` are sums for a team over both windows.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -83,29 +83,29 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamSums {
     /// What its callers asked for.
-    pub asked_tokens: u64,
+    pub requested_tokens: u64,
     /// What was sent to engines.
-    pub begun_tokens: u64,
+    pub dispatched_tokens: u64,
 }
 
 impl TeamSums {
     fn add(&mut self, other: &Self) {
-        self.asked_tokens += other.asked_tokens;
-        self.begun_tokens += other.begun_tokens;
+        self.requested_tokens += other.requested_tokens;
+        self.dispatched_tokens += other.dispatched_tokens;
     }
 
-    fn missing_tokens(&self) -> f64 {
-        self.asked_tokens.saturating_sub(self.begun_tokens) as f64
+    fn unserved_tokens(&self) -> f64 {
+        self.requested_tokens.saturating_sub(self.dispatched_tokens) as f64
     }
 
-    fn begun_part(&self) -> f64 {
-        self.begun_tokens as f64 / self.asked_tokens.max(1) as f64
+    fn dispatched_fraction(&self) -> f64 {
+        self.dispatched_tokens as f64 / self.requested_tokens.max(1) as f64
     }
 
     fn scaled(&self, factor: f64) -> Self {
         Self {
-            asked_tokens: (self.asked_tokens as f64 * factor) as u64,
-            begun_tokens: (self.begun_tokens as f64 * factor) as u64,
+            requested_tokens: (self.requested_tokens as f64 * factor) as u64,
+            dispatched_tokens: (self.dispatched_tokens as f64 * factor) as u64,
         }
     }
 }
@@ -117,10 +117,10 @@
     own: HashMap<TeamId, Rings>,
     peers: HashMap<InstanceId, PeerSums>,
     /// What the dispatcher of the own domain told of all other domains together.
-    elsewhere: Option<PeerSums>,
+    remote_domains: Option<PeerSums>,
     levels: Option<Levels>,
     /// Teams that wait and had much less than others, as of the latest levels.
-    needy: Vec<TeamId>,
+    underserved_teams: Vec<TeamId>,
 }
 
 #[derive(Debug, Default)]
@@ -137,7 +137,7 @@
 
 #[derive(Debug)]
 struct PeerSums {
-    heard: Timestamp,
+    received: Timestamp,
     /// For how long it had counted when it was heard.
     counted: Duration,
     teams: HashMap<TeamId, TeamCounts>,
@@ -160,17 +160,18 @@
     /// Level, over the short window, at which what the engines gave lately is spent.
     surplus_tokens: f64,
     /// What a team must have asked in vain to count as one that waits.
-    waiting_tokens: f64,
+    min_backlog_tokens: f64,
 }
 
-/// `Standing` tells how a request stands against its team's even share.
+/// `ShareClass` tells how a request stands against its team's even share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display, Serialize, Deserialize)]
 #[strum(serialize_all = "snake_case")]
-pub enum Standing {
+pub enum ShareClass {
     /// It is within the share that the stated rate of the pool gives the team.
     WithinShare,
     /// It is beyond the share, of a team that waits and had much less than others.
-    Needy,
+    #[strum(serialize = "needy")]
+    Underserved,
     /// It is beyond the share, and within an even part of what the engines give besides.
     EvenSurplus,
     /// Other teams that wait had less.
@@ -200,16 +201,16 @@
     /// What it asked and what was begun.
     pub counts: TeamCounts,
     /// Whether it counts as within its share, as it had much less than others.
-    pub is_needy: bool,
+    pub is_underserved: bool,
 }
 
-/// `MUCH_LESS` is the part of what a team asked, or of what the best served team had, below which it
+/// `UNDERSERVED_FRACTION` is the part of what a team asked, or of what the best served team had, below which it
 /// had much less than others: nobody who waits is to fall to half.
-const MUCH_LESS: f64 = 0.65;
+const UNDERSERVED_FRACTION: f64 = 0.65;
 
-/// `WAITING_PART` is the part of what the engines give that a team must have asked in vain to count
+/// `BACKLOG_MIN_FRACTION` is the part of what the engines give that a team must have asked in vain to count
 /// as one that waits; single requests that found no place do not make it needy.
-const WAITING_PART: f64 = 0.025;
+const BACKLOG_MIN_FRACTION: f64 = 0.025;
 
 /// `SURPLUS_GROWTH` is by how much the engines are taken to be able to give more than they gave in
 /// the last window, so that the even part grows where they can.
@@ -222,32 +223,32 @@
             options,
             own: HashMap::default(),
             peers: HashMap::default(),
-            elsewhere: None,
+            remote_domains: None,
             levels: None,
-            needy: Vec::new(),
+            underserved_teams: Vec::new(),
         }
     }
 
-    /// `note_asked` counts a request of a caller.
-    pub fn note_asked(&mut self, team: TeamId, tokens: u64, now: Timestamp) {
-        self.note(team, TeamSums { asked_tokens: tokens, begun_tokens: 0 }, now);
+    /// `record_request` counts a request of a caller.
+    pub fn record_request(&mut self, team: TeamId, tokens: u64, now: Timestamp) {
+        self.record(team, TeamSums { requested_tokens: tokens, dispatched_tokens: 0 }, now);
     }
 
-    /// `note_begun` counts a request that is sent to an engine.
-    pub fn note_begun(&mut self, team: TeamId, tokens: u64, now: Timestamp) {
-        self.note(team, TeamSums { asked_tokens: 0, begun_tokens: tokens }, now);
+    /// `record_dispatch` counts a request that is sent to an engine.
+    pub fn record_dispatch(&mut self, team: TeamId, tokens: u64, now: Timestamp) {
+        self.record(team, TeamSums { requested_tokens: 0, dispatched_tokens: tokens }, now);
     }
 
-    fn note(&mut self, team: TeamId, sums: TeamSums, now: Timestamp) {
-        let (window, recent) = self.buckets(now);
+    fn record(&mut self, team: TeamId, sums: TeamSums, now: Timestamp) {
+        let (window, recent) = self.current_buckets(now);
         let rings = self.own.entry(team).or_default();
-        rings.window.at(window).add(&sums);
-        rings.recent.at(recent).add(&sums);
+        rings.window.bucket_mut(window).add(&sums);
+        rings.recent.bucket_mut(recent).add(&sums);
     }
 
     /// `own_sums` returns this instance's sums, as peers are told.
     pub fn own_sums(&mut self, now: Timestamp) -> Vec<(TeamId, TeamCounts)> {
-        let (window, recent) = self.buckets(now);
+        let (window, recent) = self.current_buckets(now);
         let counts = self.own.iter_mut().map(|(team, rings)| {
             let (window, recent) = (rings.window.sum(window), rings.recent.sum(recent));
             (*team, TeamCounts { window, recent })
@@ -255,23 +256,23 @@
         counts.filter(|(_, counts)| *counts != TeamCounts::default()).collect()
     }
 
-    /// `peer_heard` takes in the sums of a peer that has counted for some time, and tells nothing of the
+    /// `set_peer_sums` takes in the sums of a peer that has counted for some time, and tells nothing of the
     /// short window: what it tells is taken for even.
-    pub fn peer_heard(
+    pub fn set_peer_sums(
         &mut self,
         peer: InstanceId,
         teams: impl IntoIterator<Item = (TeamId, TeamSums)>,
         counted: Duration,
         now: Timestamp,
     ) {
-        let part = RECENT.as_secs_f64() / self.options.window.as_secs_f64();
-        let counts_of = |sums: TeamSums| TeamCounts { window: sums, recent: sums.scaled(part) };
+        let fraction = RECENT_WINDOW.as_secs_f64() / self.options.window.as_secs_f64();
+        let counts_of = |sums: TeamSums| TeamCounts { window: sums, recent: sums.scaled(fraction) };
         let teams = teams.into_iter().map(|(team, sums)| (team, counts_of(sums)));
-        self.peer_told(peer, teams, counted, now);
+        self.set_peer_counts(peer, teams, counted, now);
     }
 
-    /// `peer_told` takes in the sums of a peer over both windows.
-    pub fn peer_told(
+    /// `set_peer_counts` takes in the sums of a peer over both windows.
+    pub fn set_peer_counts(
         &mut self,
         peer: InstanceId,
         teams: impl IntoIterator<Item = (TeamId, TeamCounts)>,
@@ -283,11 +284,11 @@
         }
         let teams = teams.into_iter().collect();
         let counted = counted.min(self.options.window);
-        self.peers.insert(peer, PeerSums { heard: now, counted, teams });
+        self.peers.insert(peer, PeerSums { received: now, counted, teams });
     }
 
-    /// `elsewhere_heard` takes in what the dispatcher of the own domain tells of all other domains.
-    pub fn elsewhere_heard(
+    /// `set_remote_domains` takes in what the dispatcher of the own domain tells of all other domains.
+    pub fn set_remote_domains(
         &mut self,
         teams: impl IntoIterator<Item = (TeamId, TeamCounts)>,
         counted: Duration,
@@ -295,12 +296,12 @@
     ) {
         let teams = teams.into_iter().collect();
         let counted = counted.min(self.options.window);
-        self.elsewhere = Some(PeerSums { heard: now, counted, teams });
+        self.remote_domains = Some(PeerSums { received: now, counted, teams });
     }
 
-    /// `forget_elsewhere` drops it: this instance hears the other domains itself.
-    pub fn forget_elsewhere(&mut self) {
-        self.elsewhere = None;
+    /// `clear_remote_domains` drops it: this instance hears the other domains itself.
+    pub fn clear_remote_domains(&mut self) {
+        self.remote_domains = None;
     }
 
     /// `forget_peer` drops a peer's sums.
@@ -308,7 +309,7 @@
         self.peers.remove(&peer);
     }
 
-    /// `sums_with` returns the sums of some peers together, with or without the own ones.
+    /// `combined_sums` returns the sums of some peers together, with or without the own ones.
     ///
     /// ```
     /// use std::time::Duration;
@@ -324,7 +325,7 @@
     /// let both = windows.sums_with(true, |peer| peer == 1, now);
     /// assert_eq!(both[&5].window, TeamSums { asked_tokens: 130, begun_tokens: 30 });
     /// ```
-    pub fn sums_with(
+    pub fn combined_sums(
         &mut self,
         with_own: bool,
         is_included: impl Fn(InstanceId) -> bool,
@@ -334,8 +335,8 @@
         let mut total: HashMap<TeamId, TeamCounts> = own.into_iter().collect();
         let timeout = self.options.peer_timeout;
         let included = self.peers.iter().filter(|(peer, _)| is_included(**peer));
-        let heard = included.filter(|(_, sums)| now < sums.heard + timeout);
-        heard.for_each(|(_, sums)| sums.add_to(&mut total));
+        let received = included.filter(|(_, sums)| now < sums.received + timeout);
+        received.for_each(|(_, sums)| sums.add_to(&mut total));
         total
     }
 
@@ -345,27 +346,27 @@
         self.levels(pool_tokens_per_s, now).share_tokens
     }
 
-    /// `standing` tells how a request of `tokens` stands against the team's even share. A request
+    /// `share_class` tells how a request of `tokens` stands against the team's even share. A request
     /// larger than the whole share is within it when the team had nothing else in the window.
-    pub fn standing(
+    pub fn share_class(
         &mut self,
         team: TeamId,
         tokens: u64,
         pool_tokens_per_s: Option<u64>,
         now: Timestamp,
-    ) -> Standing {
+    ) -> ShareClass {
         let levels = self.levels(pool_tokens_per_s, now);
         let counts = self.fleet_counts(team, now);
-        let begun = counts.window.begun_tokens as f64;
-        let recent = counts.recent.begun_tokens as f64 + tokens as f64 / 2.0;
-        if begun == 0.0 || begun + tokens as f64 / 2.0 <= levels.share_tokens {
-            Standing::WithinShare
-        } else if self.options.policy.needy_teams && self.needy.contains(&team) {
-            Standing::Needy
+        let dispatched = counts.window.dispatched_tokens as f64;
+        let recent = counts.recent.dispatched_tokens as f64 + tokens as f64 / 2.0;
+        if dispatched == 0.0 || dispatched + tokens as f64 / 2.0 <= levels.share_tokens {
+            ShareClass::WithinShare
+        } else if self.options.policy.needy_teams && self.underserved_teams.contains(&team) {
+            ShareClass::Underserved
         } else if recent <= levels.surplus_tokens || !self.options.policy.even_surplus {
-            Standing::EvenSurplus
+            ShareClass::EvenSurplus
         } else {
-            Standing::BeyondEven
+            ShareClass::BeyondEven
         }
     }
 
@@ -386,26 +387,26 @@
     /// assert_eq!(view.sources, 0);
     /// ```
     pub fn view(&mut self, pool_tokens_per_s: Option<u64>, now: Timestamp) -> SharesView {
-        let Levels { share_tokens, surplus_tokens, waiting_tokens, .. } =
+        let Levels { share_tokens, surplus_tokens, min_backlog_tokens, .. } =
             self.levels(pool_tokens_per_s, now);
         let fleet = self.fleet_sums(now);
         let waiting =
-            fleet.iter().filter(|(_, counts)| waiting_tokens < counts.window.missing_tokens());
+            fleet.iter().filter(|(_, counts)| min_backlog_tokens < counts.window.unserved_tokens());
         let waiting = waiting.map(|(team, counts)| WaitingTeam {
             team: *team,
             counts: *counts,
-            is_needy: self.needy.contains(team),
+            is_underserved: self.underserved_teams.contains(team),
         });
         let mut waiting: Vec<WaitingTeam> = waiting.collect();
         waiting.sort_by(|team, other| {
-            let parts = [team, other].map(|team| team.counts.window.begun_part());
-            parts[0].total_cmp(&parts[1]).then(team.team.cmp(&other.team))
+            let fractions = [team, other].map(|team| team.counts.window.dispatched_fraction());
+            fractions[0].total_cmp(&fractions[1]).then(team.team.cmp(&other.team))
         });
-        let ages = self.told().map(|sums| now.saturating_sub(sums.heard));
+        let ages = self.remote_sums().map(|sums| now.saturating_sub(sums.received));
         SharesView {
             share_tokens,
             surplus_tokens,
-            sources: self.told().count(),
+            sources: self.remote_sums().count(),
             oldest: ages.max().unwrap_or_default(),
             waiting,
         }
@@ -422,25 +423,29 @@
         let window = self.counted_window(now);
         let pool_in =
             |time: Duration| pool_tokens_per_s.map(|rate| rate as f64 * time.as_secs_f64());
-        let given_in = |begun: u64, time| {
-            (SURPLUS_GROWTH * begun as f64).max(pool_in(time).unwrap_or_default())
+        let capacity_in = |dispatched: u64, time| {
+            (SURPLUS_GROWTH * dispatched as f64).max(pool_in(time).unwrap_or_default())
         };
-        let asked = fleet.values().map(|counts| counts.recent.asked_tokens as f64).collect();
-        let begun = fleet.values().map(|counts| counts.recent.begun_tokens).sum();
-        let surplus_tokens = max_min_level(asked, given_in(begun, window.min(RECENT)));
-        let given = given_tokens(&fleet, window);
-        let waiting_tokens = WAITING_PART * given;
-        self.needy = needy(&fleet, waiting_tokens);
+        let requested =
+            fleet.values().map(|counts| counts.recent.requested_tokens as f64).collect();
+        let dispatched = fleet.values().map(|counts| counts.recent.dispatched_tokens).sum();
+        let surplus_tokens =
+            max_min_level(requested, capacity_in(dispatched, window.min(RECENT_WINDOW)));
+        let measured_capacity = capacity_tokens(&fleet, window);
+        let min_backlog_tokens = BACKLOG_MIN_FRACTION * measured_capacity;
+        self.underserved_teams = underserved_teams(&fleet, min_backlog_tokens);
         let stated = pool_in(window).unwrap_or(f64::INFINITY);
-        let pool = if self.needy.is_empty() { stated } else { stated.min(given) };
-        let asked = fleet.values().map(|counts| counts.window.asked_tokens as f64).collect();
-        let share_tokens = max_min_level(asked, pool);
+        let pool =
+            if self.underserved_teams.is_empty() { stated } else { stated.min(measured_capacity) };
+        let requested =
+            fleet.values().map(|counts| counts.window.requested_tokens as f64).collect();
+        let share_tokens = max_min_level(requested, pool);
         let levels = Levels {
             computed: now,
             pool_tokens_per_s,
             share_tokens,
             surplus_tokens,
-            waiting_tokens,
+            min_backlog_tokens,
         };
         self.levels = Some(levels);
         levels
@@ -452,68 +457,69 @@
         if !self.options.policy.growing_shares {
             return window;
         }
-        let peers = self.told().map(|peer| peer.counted + now.saturating_sub(peer.heard));
+        let peers = self.remote_sums().map(|peer| peer.counted + now.saturating_sub(peer.received));
         let longest = peers.max().unwrap_or_default().max(now);
         longest.clamp(window / BUCKETS as u32, window)
     }
 
     fn fleet_counts(&mut self, team: TeamId, now: Timestamp) -> TeamCounts {
-        let (window, recent) = self.buckets(now);
+        let (window, recent) = self.current_buckets(now);
         let mut counts = self.own.get_mut(&team).map_or_else(TeamCounts::default, |rings| {
             TeamCounts { window: rings.window.sum(window), recent: rings.recent.sum(recent) }
         });
         let timeout = self.options.peer_timeout;
-        let peers = self.told().filter(|peer| now < peer.heard + timeout);
-        peers.filter_map(|peer| peer.teams.get(&team)).for_each(|told| counts.add(told));
+        let peers = self.remote_sums().filter(|peer| now < peer.received + timeout);
+        peers.filter_map(|peer| peer.teams.get(&team)).for_each(|sums| counts.add(sums));
         counts
     }
 
     fn fleet_sums(&mut self, now: Timestamp) -> HashMap<TeamId, TeamCounts> {
         let timeout = self.options.peer_timeout;
-        self.peers.retain(|_, peer| now < peer.heard + timeout);
-        self.elsewhere = self.elsewhere.take().filter(|sums| now < sums.heard + timeout);
+        self.peers.retain(|_, peer| now < peer.received + timeout);
+        self.remote_domains =
+            self.remote_domains.take().filter(|sums| now < sums.received + timeout);
         let mut fleet: HashMap<TeamId, TeamCounts> = self.own_sums(now).into_iter().collect();
-        self.told().for_each(|sums| sums.add_to(&mut fleet));
+        self.remote_sums().for_each(|sums| sums.add_to(&mut fleet));
         fleet
     }
 
-    fn told(&self) -> impl Iterator<Item = &PeerSums> {
-        self.peers.values().chain(&self.elsewhere)
+    fn remote_sums(&self) -> impl Iterator<Item = &PeerSums> {
+        self.peers.values().chain(&self.remote_domains)
     }
 
     /// The present buckets of both windows.
-    fn buckets(&self, now: Timestamp) -> (u64, u64) {
+    fn current_buckets(&self, now: Timestamp) -> (u64, u64) {
         let of_window = |window: Duration| {
             let bucket_ms = (window.as_millis() / BUCKETS as u128).max(1);
             u64::try_from(now.as_millis() / bucket_ms).unwrap_or(u64::MAX)
         };
-        (of_window(self.options.window), of_window(RECENT))
+        (of_window(self.options.window), of_window(RECENT_WINDOW))
     }
 }
 
 /// What the engines give in a window. After a start or a pause the whole window tells of less.
-fn given_tokens(fleet: &HashMap<TeamId, TeamCounts>, window: Duration) -> f64 {
-    let begun: u64 = fleet.values().map(|counts| counts.window.begun_tokens).sum();
-    let recent: u64 = fleet.values().map(|counts| counts.recent.begun_tokens).sum();
-    (begun as f64).max(recent as f64 * window.div_duration_f64(window.min(RECENT)))
+fn capacity_tokens(fleet: &HashMap<TeamId, TeamCounts>, window: Duration) -> f64 {
+    let dispatched: u64 = fleet.values().map(|counts| counts.window.dispatched_tokens).sum();
+    let recent: u64 = fleet.values().map(|counts| counts.recent.dispatched_tokens).sum();
+    (dispatched as f64).max(recent as f64 * window.div_duration_f64(window.min(RECENT_WINDOW)))
 }
 
-/// The teams that wait for `waiting_tokens` and more, and had much less than they asked and than the
+/// The teams that wait for `min_backlog_tokens` and more, and had much less than they asked and than the
 /// best served team had. Requests of one team may find a place less often than those of another: its
 /// prompts are longer, or its callers reach few instances.
-fn needy(fleet: &HashMap<TeamId, TeamCounts>, waiting_tokens: f64) -> Vec<TeamId> {
-    let begun = fleet.values().map(|counts| counts.window.begun_tokens);
-    let most = begun.max().unwrap_or_default();
-    let is_needy = |sums: &TeamSums| {
-        let due = MUCH_LESS * sums.asked_tokens.min(most) as f64;
-        waiting_tokens < sums.missing_tokens() && (sums.begun_tokens as f64) < due
+fn underserved_teams(fleet: &HashMap<TeamId, TeamCounts>, min_backlog_tokens: f64) -> Vec<TeamId> {
+    let dispatched = fleet.values().map(|counts| counts.window.dispatched_tokens);
+    let most = dispatched.max().unwrap_or_default();
+    let is_underserved = |sums: &TeamSums| {
+        let due = UNDERSERVED_FRACTION * sums.requested_tokens.min(most) as f64;
+        min_backlog_tokens < sums.unserved_tokens() && (sums.dispatched_tokens as f64) < due
     };
-    let teams = fleet.iter().filter(|(_, counts)| is_needy(&counts.window));
+    let teams = fleet.iter().filter(|(_, counts)| is_underserved(&counts.window));
     teams.map(|(team, _)| *team).collect()
 }
 
 impl Ring {
-    fn at(&mut self, bucket: u64) -> &mut TeamSums {
+    fn bucket_mut(&mut self, bucket: u64) -> &mut TeamSums {
         self.advance(bucket);
         &mut self.buckets[(bucket % BUCKETS as u64) as usize]
     }
--- a/crates/bergamotpitch-control/tests/engines/mod.rs
+++ b/crates/bergamotpitch-control/tests/engines/mod.rs
@@ -29,13 +29,13 @@
 /// `Engine` is one engine.
 pub struct Engine {
     pub slots: usize,
-    pub room_tokens: u64,
-    pub read_again_tokens: f64,
+    pub cache_tokens: u64,
+    pub reread_tokens: f64,
     speed: Speed,
     waiting: VecDeque<Work>,
     reading: VecDeque<Work>,
     running: Vec<Work>,
-    kept: VecDeque<PromptPart>,
+    cached: VecDeque<PromptPart>,
     time_ms: f64,
 }
 
@@ -45,90 +45,91 @@
     pub number: u64,
     pub prefix: Vec<PromptPart>,
     unread_tokens: f64,
-    left_tokens: f64,
+    remaining_tokens: f64,
 }
 
-/// `Happening` is what an engine tells.
-pub enum Happening {
+/// `EngineEvent` is what an engine tells.
+pub enum EngineEvent {
     Began(u64, Duration),
     Ended(u64),
 }
 
 impl Engine {
-    pub fn new(slots: usize, room_tokens: u64, speed: Speed) -> Self {
+    pub fn new(slots: usize, cache_tokens: u64, speed: Speed) -> Self {
         Self {
             slots,
-            room_tokens,
+            cache_tokens,
             speed,
-            read_again_tokens: 0.0,
+            reread_tokens: 0.0,
             waiting: VecDeque::new(),
             reading: VecDeque::new(),
             running: Vec::new(),
-            kept: VecDeque::new(),
+            cached: VecDeque::new(),
             time_ms: 0.0,
         }
     }
 
     pub fn send(&mut self, number: u64, prefix: Vec<PromptPart>, output_tokens: u64) {
-        let left_tokens = output_tokens.max(1) as f64;
-        self.waiting.push_back(Work { number, prefix, unread_tokens: 0.0, left_tokens });
+        let remaining_tokens = output_tokens.max(1) as f64;
+        self.waiting.push_back(Work { number, prefix, unread_tokens: 0.0, remaining_tokens });
     }
 
     /// `fetch` takes what `holder` keeps of the shared start of a prompt.
     pub fn fetch(&mut self, prefix: &[PromptPart], holder: &Engine) {
         let shared = &prefix[..prefix.len().saturating_sub(1)];
-        let is_kept = |part: &&PromptPart| holder.kept.iter().any(|kept| kept.id == part.id);
-        let fetched: Vec<PromptPart> = shared.iter().take_while(is_kept).copied().collect();
-        self.keep(&fetched);
+        let is_cached =
+            |part: &&PromptPart| holder.cached.iter().any(|cached| cached.id == part.id);
+        let fetched: Vec<PromptPart> = shared.iter().take_while(is_cached).copied().collect();
+        self.cache(&fetched);
     }
 
     /// `run` goes on until `until` and returns what happened.
-    pub fn run(&mut self, until: Duration) -> Vec<Happening> {
+    pub fn run(&mut self, until: Duration) -> Vec<EngineEvent> {
         let until_ms = until.as_secs_f64() * 1_000.0;
-        let mut happenings = Vec::new();
+        let mut events = Vec::new();
         while self.time_ms < until_ms {
             self.admit();
             if self.reading.is_empty() && self.running.is_empty() {
                 self.time_ms = until_ms;
                 break;
             }
-            self.step(&mut happenings);
+            self.step(&mut events);
         }
-        happenings
+        events
     }
 
     fn admit(&mut self) {
         while self.reading.len() + self.running.len() < self.slots {
             let Some(mut work) = self.waiting.pop_front() else { return };
             work.unread_tokens = self.unread_tokens(&work.prefix);
-            self.keep(&work.prefix);
+            self.cache(&work.prefix);
             self.reading.push_back(work);
         }
     }
 
     fn unread_tokens(&mut self, prefix: &[PromptPart]) -> f64 {
-        let kept = |part: &PromptPart| self.kept.iter().any(|kept| kept.id == part.id);
+        let cached = |part: &PromptPart| self.cached.iter().any(|cached| cached.id == part.id);
         let tokens = |parts: &[PromptPart]| parts.iter().map(|part| f64::from(part.tokens)).sum();
-        let first_unread = prefix.iter().position(|part| !kept(part)).unwrap_or(prefix.len());
+        let first_unread = prefix.iter().position(|part| !cached(part)).unwrap_or(prefix.len());
         let shared = prefix.len().saturating_sub(1).max(first_unread);
         let again: f64 = tokens(&prefix[first_unread..shared]);
-        self.read_again_tokens += again;
+        self.reread_tokens += again;
         tokens(&prefix[first_unread..])
     }
 
-    fn keep(&mut self, prefix: &[PromptPart]) {
+    fn cache(&mut self, prefix: &[PromptPart]) {
         for part in prefix {
-            self.kept.retain(|kept| kept.id != part.id);
-            self.kept.push_back(*part);
+            self.cached.retain(|cached| cached.id != part.id);
+            self.cached.push_back(*part);
         }
-        let mut used: u64 = self.kept.iter().map(|part| u64::from(part.tokens)).sum();
-        while self.room_tokens < used {
-            let Some(dropped) = self.kept.pop_front() else { return };
+        let mut used: u64 = self.cached.iter().map(|part| u64::from(part.tokens)).sum();
+        while self.cache_tokens < used {
+            let Some(dropped) = self.cached.pop_front() else { return };
             used -= u64::from(dropped.tokens);
         }
     }
 
-    fn step(&mut self, happenings: &mut Vec<Happening>) {
+    fn step(&mut self, events: &mut Vec<EngineEvent>) {
         let speed = self.speed;
         let mut chunk = speed.chunk_tokens;
         let mut begun = Vec::new();
@@ -146,14 +147,14 @@
             + speed.step_ms
             + speed.step_ms_per_request * decoding;
         for work in &mut self.running {
-            work.left_tokens -= 1.0;
+            work.remaining_tokens -= 1.0;
         }
-        let ended = self.running.iter().filter(|work| work.left_tokens <= 0.0);
-        happenings.extend(ended.map(|work| Happening::Ended(work.number)));
-        self.running.retain(|work| 0.0 < work.left_tokens);
+        let ended = self.running.iter().filter(|work| work.remaining_tokens <= 0.0);
+        events.extend(ended.map(|work| EngineEvent::Ended(work.number)));
+        self.running.retain(|work| 0.0 < work.remaining_tokens);
         for work in begun {
             let time = Duration::from_secs_f64(self.time_ms / 1_000.0);
-            happenings.push(Happening::Began(work.number, time));
+            events.push(EngineEvent::Began(work.number, time));
             self.running.push(work);
         }
     }
--- a/crates/bergamotpitch-control/tests/even_shares.rs
+++ b/crates/bergamotpitch-control/tests/even_shares.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bergamotpitch_control::traffic::team_windows::{
-    Options, Standing, TeamSums, TeamWindows, max_min_level,
+    Options, ShareClass, TeamSums, TeamWindows, max_min_level,
 };
 
 const SMALL: u32 = 1;
@@ -20,60 +20,60 @@
 #[test]
 fn one_flood() {
     let mut windows = TeamWindows::new(Options::default());
-    windows.note_asked(SMALL, 500, at(4_100));
-    windows.note_asked(LARGE, 50_000, at(4_100));
+    windows.record_request(SMALL, 500, at(4_100));
+    windows.record_request(LARGE, 50_000, at(4_100));
     let level = windows.level(RATE, at(4_200));
     assert_eq!(level, 3_500.0);
-    windows.note_begun(SMALL, 400, at(4_200));
-    windows.note_begun(LARGE, 3_600, at(4_200));
-    assert_eq!(windows.standing(SMALL, 100, RATE, at(4_210)), Standing::WithinShare);
-    assert_ne!(windows.standing(LARGE, 100, RATE, at(4_210)), Standing::WithinShare);
+    windows.record_dispatch(SMALL, 400, at(4_200));
+    windows.record_dispatch(LARGE, 3_600, at(4_200));
+    assert_eq!(windows.share_class(SMALL, 100, RATE, at(4_210)), ShareClass::WithinShare);
+    assert_ne!(windows.share_class(LARGE, 100, RATE, at(4_210)), ShareClass::WithinShare);
     // What was begun leaves the window after four seconds.
-    assert_eq!(windows.standing(LARGE, 100, RATE, at(8_700)), Standing::WithinShare);
+    assert_eq!(windows.share_class(LARGE, 100, RATE, at(8_700)), ShareClass::WithinShare);
 }
 
 /// A flood that reaches an instance which nobody told anything since it started gets no more than
 /// what the pool gave in the time for which it has counted.
 #[test]
-fn young_flood() {
+fn flood_after_start() {
     let mut windows = TeamWindows::new(Options::default());
-    windows.note_asked(SMALL, 500, at(1_900));
-    windows.note_asked(LARGE, 50_000, at(1_900));
+    windows.record_request(SMALL, 500, at(1_900));
+    windows.record_request(LARGE, 50_000, at(1_900));
     assert_eq!(windows.level(RATE, at(2_000)), 1_500.0);
-    windows.note_begun(LARGE, 1_600, at(2_000));
-    assert_eq!(windows.standing(SMALL, 100, RATE, at(2_010)), Standing::WithinShare);
-    assert_ne!(windows.standing(LARGE, 100, RATE, at(2_010)), Standing::WithinShare);
+    windows.record_dispatch(LARGE, 1_600, at(2_000));
+    assert_eq!(windows.share_class(SMALL, 100, RATE, at(2_010)), ShareClass::WithinShare);
+    assert_ne!(windows.share_class(LARGE, 100, RATE, at(2_010)), ShareClass::WithinShare);
 }
 
 /// The same team comes in at two instances. Without the peer's sums it would get its share twice.
 #[test]
 fn two_instances() {
     let mut windows = TeamWindows::new(Options::default());
-    windows.note_asked(SMALL, 9_000, at(0));
-    windows.note_asked(LARGE, 9_000, at(0));
-    let begun = TeamSums { asked_tokens: 9_000, begun_tokens: 3_000 };
-    windows.peer_heard(7, [(LARGE, begun)], at(10), at(10));
-    assert_ne!(windows.standing(LARGE, 100, RATE, at(100)), Standing::WithinShare);
-    assert_eq!(windows.standing(SMALL, 100, RATE, at(100)), Standing::WithinShare);
+    windows.record_request(SMALL, 9_000, at(0));
+    windows.record_request(LARGE, 9_000, at(0));
+    let begun = TeamSums { requested_tokens: 9_000, dispatched_tokens: 3_000 };
+    windows.set_peer_sums(7, [(LARGE, begun)], at(10), at(10));
+    assert_ne!(windows.share_class(LARGE, 100, RATE, at(100)), ShareClass::WithinShare);
+    assert_eq!(windows.share_class(SMALL, 100, RATE, at(100)), ShareClass::WithinShare);
     // A peer that fell silent no longer counts: the rest of the fleet has the whole pool.
-    assert_eq!(windows.standing(LARGE, 100, RATE, at(4_100)), Standing::WithinShare);
+    assert_eq!(windows.share_class(LARGE, 100, RATE, at(4_100)), ShareClass::WithinShare);
 }
 
 /// A request that is larger than a whole share would otherwise never be served.
 #[test]
 fn large_request() {
     let mut windows = TeamWindows::new(Options::default());
-    windows.note_asked(SMALL, 90_000, at(0));
-    windows.note_asked(LARGE, 90_000, at(0));
-    assert_eq!(windows.standing(LARGE, 90_000, RATE, at(0)), Standing::WithinShare);
-    windows.note_begun(LARGE, 90_000, at(0));
-    assert_ne!(windows.standing(LARGE, 90_000, RATE, at(0)), Standing::WithinShare);
+    windows.record_request(SMALL, 90_000, at(0));
+    windows.record_request(LARGE, 90_000, at(0));
+    assert_eq!(windows.share_class(LARGE, 90_000, RATE, at(0)), ShareClass::WithinShare);
+    windows.record_dispatch(LARGE, 90_000, at(0));
+    assert_ne!(windows.share_class(LARGE, 90_000, RATE, at(0)), ShareClass::WithinShare);
 }
 
 #[test]
 fn no_rate() {
     let mut windows = TeamWindows::new(Options::default());
-    windows.note_asked(LARGE, 1 << 40, at(0));
+    windows.record_request(LARGE, 1 << 40, at(0));
     assert_eq!(windows.level(None, at(0)), f64::INFINITY);
 }
 
--- a/crates/bergamotpitch-control/tests/fetched_starts.rs
+++ b/crates/bergamotpitch-control/tests/fetched_starts.rs
@@ -4,11 +4,13 @@
 
 use std::time::Duration;
 
-use bergamotpitch_control::traffic::admissions::{Ask, Choice, Options, Placement, Scope, Traffic};
+use bergamotpitch_control::traffic::admissions::{
+    Decision, Options, Placement, PlacementRequest, Scope, Traffic,
+};
 use bergamotpitch_control::traffic::catalogs::CacheLink;
 use bergamotpitch_control::traffic::facts::RequestFacts;
 use bergamotpitch_control::traffic::registries::{Registration, UpstreamKey};
-use engines::{Engine, Happening, Speed, part};
+use engines::{Engine, EngineEvent, Speed, part};
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
@@ -49,8 +51,8 @@
     }
 }
 
-fn ask(facts: &RequestFacts, cache_link: Option<CacheLink>) -> Ask<'_> {
-    Ask {
+fn ask(facts: &RequestFacts, cache_link: Option<CacheLink>) -> PlacementRequest<'_> {
+    PlacementRequest {
         service: "engines",
         facts,
         team: None,
@@ -65,8 +67,13 @@
     }
 }
 
-fn send(traffic: &mut Traffic, ask: &Ask<'_>, number: u64, now: Duration) -> Option<Placement> {
-    let Choice::Send(placement) = traffic.choose(ask, now) else { return None };
+fn send(
+    traffic: &mut Traffic,
+    ask: &PlacementRequest<'_>,
+    number: u64,
+    now: Duration,
+) -> Option<Placement> {
+    let Decision::Send(placement) = traffic.choose_upstream(ask, now) else { return None };
     traffic.send(number, &placement, ask, now);
     Some(placement)
 }
@@ -115,7 +122,7 @@
     let placed = send(&mut here, &ask(&first, None), 1, now).unwrap();
     let next = draft(7, 101);
     let tried = [placed.upstream];
-    let elsewhere = Ask { tried: &tried, ..ask(&next, None) };
+    let elsewhere = PlacementRequest { tried: &tried, ..ask(&next, None) };
     let elsewhere = send(&mut here, &elsewhere, 2, now).unwrap();
     assert_ne!(elsewhere.upstream, placed.upstream);
     assert_eq!(elsewhere.fetch_from, None);
@@ -132,7 +139,7 @@
         let only = key_of(&here, index);
         let others: Vec<_> =
             (0..3).map(|index| key_of(&here, index)).filter(|key| *key != only).collect();
-        let asked = Ask { tried: &others, ..ask(&facts, Some(LINK)) };
+        let asked = PlacementRequest { tried: &others, ..ask(&facts, Some(LINK)) };
         let placed = send(&mut here, &asked, number, now(number)).unwrap();
         fill(&mut here, &placed, now(number));
     }
@@ -163,7 +170,7 @@
 
 /// Requests on some subjects reach four instances in turn, at nearly what twelve engines give. Each
 /// instance sees a quarter of them. Returns the tokens of shared starts that were read more than once.
-fn read_again_tokens(seed: u64, tells: bool) -> f64 {
+fn reread_tokens(seed: u64, tells: bool) -> f64 {
     let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
     let mut uniform = move || (random.next_u64() >> 11) as f64 / (1_u64 << 53) as f64;
     let domains = ["a"; 12];
@@ -176,13 +183,15 @@
     for tick in 0..8_000_u64 {
         let now = Duration::from_millis(5 * tick);
         for (index, engine) in engines.iter_mut().enumerate() {
-            for happening in engine.run(now) {
-                let (Happening::Began(number, _) | Happening::Ended(number)) = &happening;
+            for event in engine.run(now) {
+                let (EngineEvent::Began(number, _) | EngineEvent::Ended(number)) = &event;
                 let (instance, _) = running[*number as usize];
                 let key = key_of(&instances[instance], index);
-                match happening {
-                    Happening::Began(number, time) => instances[instance].begun(key, number, time),
-                    Happening::Ended(number) => instances[instance].load(key).ended(number),
+                match event {
+                    EngineEvent::Began(number, time) => {
+                        instances[instance].begun(key, number, time)
+                    }
+                    EngineEvent::Ended(number) => instances[instance].load(key).ended(number),
                 }
             }
         }
@@ -207,7 +216,7 @@
             exchange(&mut instances, now);
         }
     }
-    engines.iter().map(|engine| engine.read_again_tokens).sum::<f64>() - FIRST_READ_TOKENS
+    engines.iter().map(|engine| engine.reread_tokens).sum::<f64>() - FIRST_READ_TOKENS
 }
 
 fn engine_of(traffic: &Traffic, key: UpstreamKey) -> usize {
@@ -228,7 +237,7 @@
 #[test]
 fn many_instances() {
     for seed in 1..=3 {
-        let (told, untold) = (read_again_tokens(seed, true), read_again_tokens(seed, false));
+        let (told, untold) = (reread_tokens(seed, true), reread_tokens(seed, false));
         println!("seed {seed}: read again {told:.0} against {untold:.0} tokens");
         assert!(4.0 * told < untold, "{seed}: {told} against {untold}");
     }
--- a/crates/bergamotpitch-control/tests/flooded_instances.rs
+++ b/crates/bergamotpitch-control/tests/flooded_instances.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 
 use bergamotpitch_control::traffic::concurrency_limits::{ConcurrencyLimit, Options};
-use bergamotpitch_control::traffic::team_windows::Standing;
+use bergamotpitch_control::traffic::team_windows::ShareClass;
 
 const FLOODING: u32 = 1;
 const CALM: u32 = 2;
 
 /// Processor time of one core for a refusal, for taking a stream on and for each of its events.
 const REFUSAL_MS: f64 = 0.03;
-const START_MS: f64 = 0.15;
+const STREAM_START_MS: f64 = 0.15;
 const EVENT_MS: f64 = 0.016;
 /// Part of a core that the instance has.
 const PROCESSOR_SHARE: f64 = 0.12;
@@ -21,7 +21,7 @@
 const EVENT_INTERVAL_MS: f64 = 80.0;
 const TARGET_MS: f64 = 400.0;
 /// A caller whose request was not read for so long has left.
-const PATIENCE_MS: f64 = 1_000.0;
+const CALLER_TIMEOUT_MS: f64 = 1_000.0;
 const END_MS: f64 = 8_000.0;
 
 struct Caller {
@@ -69,11 +69,11 @@
         let due = waiting.partition_point(|caller| caller.arrived_ms <= now_ms);
         for caller in waiting.drain(..due) {
             let team = caller.team as usize;
-            if PATIENCE_MS < now_ms - caller.arrived_ms {
+            if CALLER_TIMEOUT_MS < now_ms - caller.arrived_ms {
                 outcome.left[team] += 1;
             } else if admits(&limit, caller.team) {
-                work_ms += START_MS;
-                limit.began(caller.team);
+                work_ms += STREAM_START_MS;
+                limit.stream_started(caller.team);
                 streams.push(Stream {
                     team: caller.team,
                     arrived_ms: caller.arrived_ms,
@@ -95,13 +95,13 @@
             stream.next_event_ms += EVENT_INTERVAL_MS;
         }
         for stream in streams.extract_if(.., |stream| stream.events_left == 0) {
-            limit.ended(stream.team);
+            limit.stream_ended(stream.team);
             let served = if stream.is_late { &mut outcome.late } else { &mut outcome.in_time };
             served[stream.team as usize] += 1;
         }
         let turn_ms = (work_ms / PROCESSOR_SHARE).max(0.2);
         now_ms += turn_ms;
-        limit.note_wait(
+        limit.record_delay(
             Duration::from_secs_f64(turn_ms / 1_000.0),
             Duration::from_secs_f64(now_ms / 1_000.0),
         );
@@ -113,26 +113,26 @@
 fn capacity() -> f64 {
     let requests = callers().len() as f64 / END_MS * 1_000.0;
     let left_ms = 1_000.0 * PROCESSOR_SHARE - requests * REFUSAL_MS;
-    left_ms / (START_MS + f64::from(EVENTS) * EVENT_MS - REFUSAL_MS)
+    left_ms / (STREAM_START_MS + f64::from(EVENTS) * EVENT_MS - REFUSAL_MS)
 }
 
-fn standing_of(team: u32, of_flood: Standing) -> Standing {
-    if team == CALM { Standing::WithinShare } else { of_flood }
+fn share_class_of(team: u32, of_flood: ShareClass) -> ShareClass {
+    if team == CALM { ShareClass::WithinShare } else { of_flood }
 }
 
 /// Guards against an instance that serves nobody in time, as it takes on all that a team within its
 /// share, or behind others, sends there.
 #[test]
 fn flood_at_one_instance() {
-    let could = capacity() * END_MS / 1_000.0;
-    for standing in [Standing::WithinShare, Standing::Needy, Standing::EvenSurplus] {
-        let outcome = flooded(|limit, team| limit.admits(team, standing_of(team, standing)));
-        println!("{standing}: {outcome:?}, could serve {could:.0}");
+    let capacity_streams = capacity() * END_MS / 1_000.0;
+    for share_class in [ShareClass::WithinShare, ShareClass::Underserved, ShareClass::EvenSurplus] {
+        let outcome = flooded(|limit, team| limit.admits(team, share_class_of(team, share_class)));
+        println!("{share_class}: {outcome:?}, could serve {capacity_streams:.0}");
         let [_, flooding, calm] = outcome.in_time;
-        assert!(0.7 * could <= f64::from(flooding), "{standing}: {outcome:?}");
-        assert_eq!(outcome.late, [0, 0, 0], "{standing}");
-        assert_eq!((outcome.refused[2], outcome.left[2]), (0, 0), "{standing}: the calm team");
-        assert!(130 <= calm, "{standing}: {outcome:?}");
+        assert!(0.7 * capacity_streams <= f64::from(flooding), "{share_class}: {outcome:?}");
+        assert_eq!(outcome.late, [0, 0, 0], "{share_class}");
+        assert_eq!((outcome.refused[2], outcome.left[2]), (0, 0), "{share_class}: the calm team");
+        assert!(130 <= calm, "{share_class}: {outcome:?}");
     }
     let unlimited = flooded(|_, _| true);
     assert_eq!(unlimited.in_time, [0, 0, 0], "the load no longer shows what the limit is for");
@@ -142,19 +142,23 @@
 #[test]
 fn most_served_first() {
     let mut limit = ConcurrencyLimit::new(Options::default());
-    (0..100).for_each(|_| limit.began(FLOODING));
-    limit.note_wait(Duration::from_millis(80), Duration::from_secs(1));
+    (0..100).for_each(|_| limit.stream_started(FLOODING));
+    limit.record_delay(Duration::from_millis(80), Duration::from_secs(1));
     let admitted = |limit: &ConcurrencyLimit| {
-        let standings =
-            [Standing::BeyondEven, Standing::EvenSurplus, Standing::Needy, Standing::WithinShare];
-        standings.map(|standing| limit.admits(FLOODING, standing))
+        let share_classes = [
+            ShareClass::BeyondEven,
+            ShareClass::EvenSurplus,
+            ShareClass::Underserved,
+            ShareClass::WithinShare,
+        ];
+        share_classes.map(|share_class| limit.admits(FLOODING, share_class))
     };
     assert_eq!(admitted(&limit), [false, false, false, false]);
-    (0..15).for_each(|_| limit.ended(FLOODING));
+    (0..15).for_each(|_| limit.stream_ended(FLOODING));
     assert_eq!(admitted(&limit), [false, false, true, true]);
-    (0..10).for_each(|_| limit.ended(FLOODING));
+    (0..10).for_each(|_| limit.stream_ended(FLOODING));
     assert_eq!(admitted(&limit), [false, true, true, true]);
-    (0..20).for_each(|_| limit.ended(FLOODING));
+    (0..20).for_each(|_| limit.stream_ended(FLOODING));
     assert_eq!(admitted(&limit), [true, true, true, true]);
 }
 
@@ -164,19 +168,19 @@
 fn short_waits() {
     let mut limit = ConcurrencyLimit::new(Options::default());
     let interval = Options::default().interval;
-    (0..400).for_each(|_| limit.began(FLOODING));
-    limit.note_wait(Duration::from_millis(5), interval);
+    (0..400).for_each(|_| limit.stream_started(FLOODING));
+    limit.record_delay(Duration::from_millis(5), interval);
     assert!(limit.admits_all());
-    limit.note_wait(Duration::from_millis(400), 2 * interval);
-    assert!(!limit.admits(FLOODING, Standing::WithinShare));
-    (0..200).for_each(|_| limit.ended(FLOODING));
+    limit.record_delay(Duration::from_millis(400), 2 * interval);
+    assert!(!limit.admits(FLOODING, ShareClass::WithinShare));
+    (0..200).for_each(|_| limit.stream_ended(FLOODING));
     for change in 3..30 {
-        while limit.admits(FLOODING, Standing::WithinShare) {
-            limit.began(FLOODING);
+        while limit.admits(FLOODING, ShareClass::WithinShare) {
+            limit.stream_started(FLOODING);
         }
-        limit.note_wait(Duration::from_millis(5), change * interval);
+        limit.record_delay(Duration::from_millis(5), change * interval);
     }
-    (0..400).for_each(|_| limit.ended(FLOODING));
+    (0..400).for_each(|_| limit.stream_ended(FLOODING));
     assert!(limit.admits_all());
     assert!(limit.to_string().starts_with("turn_ms=5 streams="), "{limit}");
 }
--- a/crates/bergamotpitch-control/tests/long_prompts.rs
+++ b/crates/bergamotpitch-control/tests/long_prompts.rs
@@ -5,17 +5,20 @@
 
 use std::time::Duration;
 
-use bergamotpitch_control::traffic::admissions::{Choice, Placement};
+use bergamotpitch_control::traffic::admissions::{Decision, Placement};
 use bergamotpitch_control::traffic::engine_loads::{Capacity, Work};
 use bergamotpitch_control::traffic::engine_speeds::EngineSpeed;
-use bergamotpitch_control::traffic::team_windows::Standing;
-use replays::{Asked, Fleet, SLOTS, arrivals, ask_of_request, chosen, replay, traffic_of_engines};
+use bergamotpitch_control::traffic::team_windows::ShareClass;
+use replays::{
+    Fleet, OfferedRequest, SLOTS, arrivals, place_and_send, placement_request_of, replay,
+    traffic_of_engines,
+};
 
 /// Half of a flooding team's requests have prompts that take nearly half a second to read; each makes
 /// those that wait behind it late.
-fn load(seed: u64) -> Vec<Asked> {
-    let mut asked = arrivals(seed, 70.0, 0.8);
-    for (index, request) in asked.iter_mut().enumerate() {
+fn load(seed: u64) -> Vec<OfferedRequest> {
+    let mut offered = arrivals(seed, 70.0, 0.8);
+    for (index, request) in offered.iter_mut().enumerate() {
         if request.team == 9 && index % 2 == 0 {
             let own = request.facts.prefix.last_mut().unwrap();
             request.facts.prompt_tokens += u64::from(40_000 - own.tokens.min(40_000));
@@ -23,7 +26,7 @@
             request.target = Duration::from_millis(600);
         }
     }
-    asked
+    offered
 }
 
 /// A team beyond its share sends prompts that take most of their target to read. Each of them makes
@@ -31,16 +34,16 @@
 #[test]
 fn beyond_share() {
     for seed in 1..=3 {
-        let asked = load(seed);
-        let ours = replay(&asked, Fleet::default(), chosen);
+        let offered = load(seed);
+        let ours = replay(&offered, Fleet::default(), place_and_send);
         println!(
             "seed {seed}: asked {}, served {}, in time {}, small teams {:.3}",
-            asked.len(),
+            offered.len(),
             ours.served,
             ours.all_in_time(),
-            ours.small_part_in_time()
+            ours.small_teams_in_time()
         );
-        assert!(0.9 <= ours.small_part_in_time(), "{seed}: {ours:?}");
+        assert!(0.9 <= ours.small_teams_in_time(), "{seed}: {ours:?}");
     }
 }
 
@@ -52,11 +55,14 @@
     let (mut traffic, keys) = traffic_of_engines();
     let request = load(1).into_iter().find(|request| 40_000 < request.facts.prompt_tokens).unwrap();
     let now = Duration::from_secs(5);
-    traffic.windows.note_asked(1, 900_000, now);
-    traffic.windows.note_asked(request.team, 9_000_000, now);
-    traffic.windows.note_begun(request.team, 900_000, now);
-    let choice = traffic.choose(&ask_of_request(&request, now), now);
-    assert!(matches!(choice, Choice::Send(Placement { standing: Standing::BeyondEven, .. })));
+    traffic.windows.record_request(1, 900_000, now);
+    traffic.windows.record_request(request.team, 9_000_000, now);
+    traffic.windows.record_dispatch(request.team, 900_000, now);
+    let decision = traffic.choose_upstream(&placement_request_of(&request, now), now);
+    assert!(matches!(
+        decision,
+        Decision::Send(Placement { share_class: ShareClass::BeyondEven, .. })
+    ));
     // With something to read on each engine, others would wait behind it.
     for (number, key) in keys.iter().enumerate() {
         let work = Work { unread_tokens: 500.0, ..Work::default() };
@@ -64,6 +70,6 @@
         let capacity = Capacity { slots: SLOTS, speed: EngineSpeed::default() };
         traffic.load(*key).send(number as u64, work, &capacity, now, &options);
     }
-    let choice = traffic.choose(&ask_of_request(&request, now), now);
-    assert!(matches!(choice, Choice::Full { standing: Standing::BeyondEven, .. }));
+    let decision = traffic.choose_upstream(&placement_request_of(&request, now), now);
+    assert!(matches!(decision, Decision::Full { share_class: ShareClass::BeyondEven, .. }));
 }
--- a/crates/bergamotpitch-control/tests/member_gossip.rs
+++ b/crates/bergamotpitch-control/tests/member_gossip.rs
@@ -237,8 +237,8 @@
     let instances = domain(100, 3);
     let mut net = Net::new(&instances);
     net.run(Duration::from_secs(3));
-    let lone = state(150, 1, Vec::new());
-    net.states.insert(150, lone);
+    let pinned = state(150, 1, Vec::new());
+    net.states.insert(150, pinned);
     let listed = |instance: u32| ListedInstance {
         name: format!("router-{instance}"),
         address: address(instance),
--- a/crates/bergamotpitch-control/tests/near_domains.rs
+++ b/crates/bergamotpitch-control/tests/near_domains.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use bergamotpitch_control::traffic::admissions::{Ask, Choice, Options, Scope, Traffic};
+use bergamotpitch_control::traffic::admissions::{
+    Decision, Options, PlacementRequest, Scope, Traffic,
+};
 use bergamotpitch_control::traffic::facts::{PromptPart, RequestFacts};
 use bergamotpitch_control::traffic::registries::Registration;
 
@@ -28,8 +30,8 @@
     traffic
 }
 
-fn ask(facts: &RequestFacts) -> Ask<'_> {
-    Ask {
+fn placement_request(facts: &RequestFacts) -> PlacementRequest<'_> {
+    PlacementRequest {
         service: "engines",
         facts,
         team: None,
@@ -50,11 +52,14 @@
 fn own_region() {
     let mut traffic = traffic();
     let facts = RequestFacts { prompt_tokens: 900, ..RequestFacts::default() };
-    let ask = ask(&facts);
+    let placement_request = placement_request(&facts);
     let mut order = Vec::new();
     for number in 0..40 {
-        let Choice::Send(placement) = traffic.choose(&ask, Duration::ZERO) else { break };
-        traffic.send(number, &placement, &ask, Duration::ZERO);
+        let Decision::Send(placement) = traffic.choose_upstream(&placement_request, Duration::ZERO)
+        else {
+            break;
+        };
+        traffic.send(number, &placement, &placement_request, Duration::ZERO);
         let upstream = traffic.registry.get(placement.upstream).unwrap();
         let domain = upstream.registration.domain.clone();
         if !order.contains(&domain) {
@@ -68,14 +73,16 @@
 /// subject reach one domain, so that a start that is kept in another region costs bytes there and back
 /// for each of its prompts, and callers wait for the longer way.
 #[test]
-fn unknown_starts() {
+fn unknown_prefixes() {
     let mut traffic = traffic();
     for subject in 0..40 {
         let start = PromptPart { id: subject, tokens: 6_000 };
         let own = PromptPart { id: 1_000 + subject, tokens: 1_000 };
         let prefix = vec![start, own];
         let facts = RequestFacts { prompt_tokens: 7_000, prefix, ..Default::default() };
-        let Choice::Send(placement) = traffic.choose(&ask(&facts), Duration::ZERO) else {
+        let Decision::Send(placement) =
+            traffic.choose_upstream(&placement_request(&facts), Duration::ZERO)
+        else {
             panic!("no place for {subject}");
         };
         let upstream = traffic.registry.get(placement.upstream).unwrap();
--- a/crates/bergamotpitch-control/tests/policy_switches.rs
+++ b/crates/bergamotpitch-control/tests/policy_switches.rs
@@ -2,12 +2,14 @@
 
 use std::time::Duration;
 
-use bergamotpitch_control::traffic::admissions::{self, Ask, Choice, Scope, Traffic};
+use bergamotpitch_control::traffic::admissions::{
+    self, Decision, PlacementRequest, Scope, Traffic,
+};
 use bergamotpitch_control::traffic::engine_loads::Figures;
 use bergamotpitch_control::traffic::facts::RequestFacts;
 use bergamotpitch_control::traffic::policies::Policy;
 use bergamotpitch_control::traffic::registries::{Registration, UpstreamKey};
-use bergamotpitch_control::traffic::team_windows::{Options, Standing, TeamSums, TeamWindows};
+use bergamotpitch_control::traffic::team_windows::{Options, ShareClass, TeamSums, TeamWindows};
 
 const NOW: Duration = Duration::from_secs(5);
 const LARGE: u32 = 9;
@@ -39,8 +41,8 @@
     RequestFacts { prompt_tokens, ..RequestFacts::default() }
 }
 
-fn choose(traffic: &mut Traffic, facts: &RequestFacts) -> Choice {
-    let ask = Ask {
+fn choose_upstream(traffic: &mut Traffic, facts: &RequestFacts) -> Decision {
+    let placement_request = PlacementRequest {
         service: "engines",
         facts,
         team: Some(LARGE),
@@ -53,11 +55,11 @@
         target_gap: None,
         scope: Scope::Fleet,
     };
-    traffic.choose(&ask, NOW)
+    traffic.choose_upstream(&placement_request, NOW)
 }
 
 fn is_sent(traffic: &mut Traffic, facts: &RequestFacts) -> bool {
-    matches!(choose(traffic, facts), Choice::Send(_))
+    matches!(choose_upstream(traffic, facts), Decision::Send(_))
 }
 
 /// A peer has this in hand at each of the engines.
@@ -68,13 +70,13 @@
 
 fn windows_under(policy: Policy) -> TeamWindows {
     let mut windows = TeamWindows::new(Options { policy, ..Options::default() });
-    windows.note_asked(SMALL, 9_000, NOW);
-    windows.note_asked(LARGE, 90_000, NOW);
+    windows.record_request(SMALL, 9_000, NOW);
+    windows.record_request(LARGE, 90_000, NOW);
     windows
 }
 
-fn standing(windows: &mut TeamWindows, team: u32) -> Standing {
-    windows.standing(team, 100, RATE, NOW)
+fn share_class(windows: &mut TeamWindows, team: u32) -> ShareClass {
+    windows.share_class(team, 100, RATE, NOW)
 }
 
 /// Without shares a team that had nearly all is sent on like any other, while engines have room.
@@ -82,9 +84,9 @@
 fn team_shares() {
     let decide = |policy| {
         let (mut traffic, keys) = traffic_under(policy);
-        traffic.windows.note_asked(SMALL, 900_000, NOW);
-        traffic.windows.note_asked(LARGE, 9_000_000, NOW);
-        traffic.windows.note_begun(LARGE, 900_000, NOW);
+        traffic.windows.record_request(SMALL, 900_000, NOW);
+        traffic.windows.record_request(LARGE, 9_000_000, NOW);
+        traffic.windows.record_dispatch(LARGE, 900_000, NOW);
         load(&mut traffic, &keys, 10, 8_000.0);
         is_sent(&mut traffic, &prompt(2_000))
     };
@@ -110,31 +112,31 @@
 fn peer_sums() {
     let decide = |policy| {
         let mut windows = windows_under(policy);
-        let begun = TeamSums { asked_tokens: 9_000, begun_tokens: 8_000 };
-        windows.peer_heard(7, [(LARGE, begun)], NOW, NOW);
-        windows.note_begun(LARGE, 100, NOW);
-        standing(&mut windows, LARGE)
+        let begun = TeamSums { requested_tokens: 9_000, dispatched_tokens: 8_000 };
+        windows.set_peer_sums(7, [(LARGE, begun)], NOW, NOW);
+        windows.record_dispatch(LARGE, 100, NOW);
+        share_class(&mut windows, LARGE)
     };
-    assert_ne!(decide(Policy::default()), Standing::WithinShare);
-    assert_eq!(decide(Policy { peer_sums: false, ..Policy::default() }), Standing::WithinShare);
+    assert_ne!(decide(Policy::default()), ShareClass::WithinShare);
+    assert_eq!(decide(Policy { peer_sums: false, ..Policy::default() }), ShareClass::WithinShare);
 }
 
 /// A team that waits and had next to nothing counts as needy only while that is on; what lies beyond
 /// the even part is told apart only while the surplus is divided.
 #[test]
-fn standings() {
+fn share_classes() {
     let decide = |policy| {
         let mut windows = windows_under(policy);
-        windows.note_begun(SMALL, 2_100, NOW);
-        windows.note_begun(LARGE, 8_000, NOW);
-        (standing(&mut windows, SMALL), standing(&mut windows, LARGE))
+        windows.record_dispatch(SMALL, 2_100, NOW);
+        windows.record_dispatch(LARGE, 8_000, NOW);
+        (share_class(&mut windows, SMALL), share_class(&mut windows, LARGE))
     };
-    let chosen = Policy::default();
-    assert_eq!(decide(chosen), (Standing::Needy, Standing::BeyondEven));
-    let without = decide(Policy { needy_teams: false, ..chosen });
-    assert_eq!(without, (Standing::EvenSurplus, Standing::BeyondEven));
-    let without = decide(Policy { even_surplus: false, ..chosen });
-    assert_eq!(without, (Standing::Needy, Standing::EvenSurplus));
+    let enabled = Policy::default();
+    assert_eq!(decide(enabled), (ShareClass::Underserved, ShareClass::BeyondEven));
+    let without = decide(Policy { needy_teams: false, ..enabled });
+    assert_eq!(without, (ShareClass::EvenSurplus, ShareClass::BeyondEven));
+    let without = decide(Policy { even_surplus: false, ..enabled });
+    assert_eq!(without, (ShareClass::Underserved, ShareClass::EvenSurplus));
 }
 
 /// Without growing shares an instance that has just started gives a whole window's share at once.
@@ -143,7 +145,7 @@
     let decide = |policy| {
         let mut windows = TeamWindows::new(Options { policy, ..Options::default() });
         let soon = Duration::from_millis(500);
-        windows.note_asked(LARGE, 50_000, soon);
+        windows.record_request(LARGE, 50_000, soon);
         windows.level(RATE, soon)
     };
     assert_eq!(decide(Policy::default()), 500.0);
@@ -159,7 +161,7 @@
         (0..12).for_each(|_| traffic.evidence(failing).note_outcome(true, NOW));
         traffic.evidence(failing).note_trial(NOW);
         load(&mut traffic, &keys[1..], 20, 2_000.0);
-        let Choice::Send(placement) = choose(&mut traffic, &prompt(2_000)) else {
+        let Decision::Send(placement) = choose_upstream(&mut traffic, &prompt(2_000)) else {
             panic!("no place");
         };
         placement.upstream == failing
--- a/crates/bergamotpitch-control/tests/replays/mod.rs
+++ b/crates/bergamotpitch-control/tests/replays/mod.rs
@@ -3,27 +3,29 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use bergamotpitch_control::traffic::admissions::{Ask, Choice, Options, Placement, Scope, Traffic};
+use bergamotpitch_control::traffic::admissions::{
+    Decision, Options, Placement, PlacementRequest, Scope, Traffic,
+};
 use bergamotpitch_control::traffic::engine_loads::Figures;
 use bergamotpitch_control::traffic::facts::RequestFacts;
 use bergamotpitch_control::traffic::registries::{Registration, UpstreamKey};
 use rand_core::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-use crate::engines::{Engine, Happening, Speed, part};
+use crate::engines::{Engine, EngineEvent, Speed, part};
 
 pub const SLOTS: u32 = 64;
 pub const LENGTH: Duration = Duration::from_secs(20);
 const ENGINES: usize = 3;
 const MEMORY_TOKENS: u64 = 700_000;
 /// Time between two beats of an instance to its peers.
-const BEAT_INTERVAL: Duration = Duration::from_millis(120);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(120);
 const STEP: Duration = Duration::from_millis(5);
 /// Tokens of the pool in a second: what three engines give, as operators would state it.
 const POOL_TOKENS_PER_S: Option<u64> = Some(120_000);
 
-/// `Asked` is one request of a load.
-pub struct Asked {
+/// `OfferedRequest` is one request of a load.
+pub struct OfferedRequest {
     pub facts: RequestFacts,
     pub team: u32,
     pub target: Duration,
@@ -31,24 +33,24 @@
 }
 
 /// Long drafts and short notes of one large and three small teams, in bunches; the large one sends
-/// `flood_part` of them.
-pub fn arrivals(seed: u64, per_s: f64, flood_part: f64) -> Vec<Asked> {
+/// `flood_fraction` of them.
+pub fn arrivals(seed: u64, per_s: f64, flood_fraction: f64) -> Vec<OfferedRequest> {
     let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
     let mut uniform = move || (random.next_u64() >> 11) as f64 / (1_u64 << 53) as f64;
-    let mut asked = Vec::new();
+    let mut offered = Vec::new();
     let mut now = 0.0;
     let mut number = 1_000_000_u64;
     while now < LENGTH.as_secs_f64() {
         now += -uniform().ln() * 3.0 / per_s;
         for _ in 0..3 {
             number += 1;
-            let team = if uniform() < flood_part { 9 } else { 1 + (uniform() * 3.0) as u32 };
+            let team = if uniform() < flood_fraction { 9 } else { 1 + (uniform() * 3.0) as u32 };
             let is_long = uniform() < 0.35;
-            let things = if is_long { 25.0 } else { 200.0 };
-            let thing = (uniform() * things) as u64 + if is_long { 1_000 } else { 2_000 };
+            let subjects = if is_long { 25.0 } else { 200.0 };
+            let subject = (uniform() * subjects) as u64 + if is_long { 1_000 } else { 2_000 };
             let (shared, own, output) = if is_long { (5_000, 6_000, 384) } else { (200, 600, 250) };
             let own = (f64::from(own) * (0.3 - uniform().ln())) as u32;
-            let prefix = vec![part(thing, shared), part(number, own)];
+            let prefix = vec![part(subject, shared), part(number, own)];
             let facts = RequestFacts {
                 prompt_tokens: u64::from(shared + own),
                 output_tokens_max: output,
@@ -57,21 +59,26 @@
                 ..RequestFacts::default()
             };
             let target = Duration::from_millis(if is_long { 600 } else { 400 });
-            asked.push(Asked { facts, team, target, arrived: Duration::from_secs_f64(now) });
+            offered.push(OfferedRequest {
+                facts,
+                team,
+                target,
+                arrived: Duration::from_secs_f64(now),
+            });
         }
     }
-    asked
+    offered
 }
 
 /// `Outcome` is what became of a load.
 #[derive(Default, Debug)]
 pub struct Outcome {
-    pub asked: HashMap<u32, usize>,
+    pub offered: HashMap<u32, usize>,
     pub in_time: HashMap<u32, usize>,
     pub served: usize,
-    pub read_again_tokens: f64,
+    pub reread_tokens: f64,
     /// Tokens of the pool that each team's requests took, by the second in which they began.
-    pub begun_tokens: HashMap<(u32, u64), u64>,
+    pub started_tokens: HashMap<(u32, u64), u64>,
 }
 
 impl Outcome {
@@ -79,19 +86,19 @@
         self.in_time.values().sum()
     }
 
-    fn note_begun(&mut self, asked: &Asked, time: Duration) {
+    fn record_start(&mut self, offered: &OfferedRequest, time: Duration) {
         self.served += 1;
-        let second = (asked.team, time.as_secs());
-        *self.begun_tokens.entry(second).or_default() += asked.facts.pool_tokens();
-        if time <= asked.arrived + asked.target {
-            *self.in_time.entry(asked.team).or_default() += 1;
+        let second = (offered.team, time.as_secs());
+        *self.started_tokens.entry(second).or_default() += offered.facts.pool_tokens();
+        if time <= offered.arrived + offered.target {
+            *self.in_time.entry(offered.team).or_default() += 1;
         }
     }
 
-    pub fn small_part_in_time(&self) -> f64 {
+    pub fn small_teams_in_time(&self) -> f64 {
         let sum = |counts: &HashMap<u32, usize>| (1..=3).filter_map(|team| counts.get(&team)).sum();
-        let (in_time, asked): (usize, usize) = (sum(&self.in_time), sum(&self.asked));
-        in_time as f64 / asked as f64
+        let (in_time, offered): (usize, usize) = (sum(&self.in_time), sum(&self.offered));
+        in_time as f64 / offered as f64
     }
 }
 
@@ -117,9 +124,9 @@
     (traffic, keys)
 }
 
-/// `ask_of_request` states what a request asks of the tables.
-pub fn ask_of_request(request: &Asked, now: Duration) -> Ask<'_> {
-    Ask {
+/// `placement_request_of` states what a request asks of the tables.
+pub fn placement_request_of(request: &OfferedRequest, now: Duration) -> PlacementRequest<'_> {
+    PlacementRequest {
         service: "engines",
         facts: &request.facts,
         team: Some(request.team),
@@ -141,22 +148,27 @@
     pub instances: usize,
     pub speed: Speed,
     /// Time between two beats of an instance to each of its peers.
-    pub beat_interval: Duration,
+    pub heartbeat_interval: Duration,
     /// Team whose callers all reach the first instance, while those of the others reach the rest.
-    pub lone_team: Option<u32>,
+    pub pinned_team: Option<u32>,
 }
 
 impl Default for Fleet {
     fn default() -> Self {
-        let (instances, lone_team) = (1, None);
-        Self { instances, speed: Speed::default(), beat_interval: BEAT_INTERVAL, lone_team }
+        let (instances, pinned_team) = (1, None);
+        Self {
+            instances,
+            speed: Speed::default(),
+            heartbeat_interval: HEARTBEAT_INTERVAL,
+            pinned_team,
+        }
     }
 }
 
 impl Fleet {
     fn instance_of(&self, number: usize, team: u32) -> usize {
-        match self.lone_team {
-            Some(lone) if self.instances == 1 || team == lone => 0,
+        match self.pinned_team {
+            Some(pinned) if self.instances == 1 || team == pinned => 0,
             Some(_) => 1 + number % (self.instances - 1),
             None => number % self.instances,
         }
@@ -166,53 +178,53 @@
 /// `replay` replays a load; `place` decides, and what it does not place within a tenth of its target
 /// is refused.
 pub fn replay(
-    asked: &[Asked],
+    offered: &[OfferedRequest],
     fleet: Fleet,
-    mut place: impl FnMut(&mut Traffic, &Ask<'_>, u64, Duration) -> Option<Placement>,
+    mut place: impl FnMut(&mut Traffic, &PlacementRequest<'_>, u64, Duration) -> Option<Placement>,
 ) -> Outcome {
     let (mut instances, keys): (Vec<Traffic>, Vec<_>) =
         (0..fleet.instances).map(|_| traffic_of_engines()).unzip();
     // All instances number the engines alike.
     let keys = &keys[0];
-    let instance_of = |number: usize| fleet.instance_of(number, asked[number].team);
+    let instance_of = |number: usize| fleet.instance_of(number, offered[number].team);
     let mut engines: Vec<Engine> =
         keys.iter().map(|_| Engine::new(SLOTS as usize, MEMORY_TOKENS / 2, fleet.speed)).collect();
     let mut outcome = Outcome::default();
     let mut next = 0;
     let mut held: Vec<usize> = Vec::new();
     let mut now = Duration::ZERO;
-    let mut next_beat = fleet.beat_interval;
+    let mut next_heartbeat = fleet.heartbeat_interval;
     while now < LENGTH + Duration::from_secs(10) {
         now += STEP;
         for (engine, key) in engines.iter_mut().zip(keys) {
-            for happening in engine.run(now) {
-                let (Happening::Began(number, _) | Happening::Ended(number)) = &happening;
+            for event in engine.run(now) {
+                let (EngineEvent::Began(number, _) | EngineEvent::Ended(number)) = &event;
                 let traffic = &mut instances[instance_of(*number as usize)];
-                match happening {
-                    Happening::Began(number, time) => {
+                match event {
+                    EngineEvent::Began(number, time) => {
                         traffic.begun(*key, number, time);
-                        outcome.note_begun(&asked[number as usize], time);
+                        outcome.record_start(&offered[number as usize], time);
                     }
-                    Happening::Ended(number) => traffic.load(*key).ended(number),
+                    EngineEvent::Ended(number) => traffic.load(*key).ended(number),
                 }
             }
         }
-        if next_beat <= now {
-            next_beat += fleet.beat_interval;
+        if next_heartbeat <= now {
+            next_heartbeat += fleet.heartbeat_interval;
             exchange(&mut instances, keys, now);
         }
-        while let Some(request) = asked.get(next).filter(|request| request.arrived <= now) {
-            *outcome.asked.entry(request.team).or_default() += 1;
+        while let Some(request) = offered.get(next).filter(|request| request.arrived <= now) {
+            *outcome.offered.entry(request.team).or_default() += 1;
             let windows = &mut instances[instance_of(next)].windows;
-            windows.note_asked(request.team, request.facts.pool_tokens(), now);
+            windows.record_request(request.team, request.facts.pool_tokens(), now);
             held.push(next);
             next += 1;
         }
         held.retain(|number| {
-            let request = &asked[*number];
-            let ask = ask_of_request(request, now);
+            let request = &offered[*number];
+            let placement_request = placement_request_of(request, now);
             let traffic = &mut instances[instance_of(*number)];
-            let Some(placement) = place(traffic, &ask, *number as u64, now) else {
+            let Some(placement) = place(traffic, &placement_request, *number as u64, now) else {
                 return now < request.arrived + request.target / 10;
             };
             let engine = keys.iter().position(|key| *key == placement.upstream).unwrap();
@@ -226,7 +238,7 @@
             false
         });
     }
-    outcome.read_again_tokens = engines.iter().map(|engine| engine.read_again_tokens).sum();
+    outcome.reread_tokens = engines.iter().map(|engine| engine.reread_tokens).sum();
     outcome
 }
 
@@ -242,20 +254,22 @@
             for (key, figures) in keys.iter().zip(&figures) {
                 to.load(*key).peer_heard(peer, *figures, now);
             }
-            to.windows.peer_told(peer, sums.iter().copied(), now, now);
+            to.windows.set_peer_counts(peer, sums.iter().copied(), now, now);
             notes.iter().for_each(|note| to.starts.heard(*note));
         }
     }
 }
 
-/// `chosen` sends a request where the tables place it.
-pub fn chosen(
+/// `place_and_send` sends a request where the tables place it.
+pub fn place_and_send(
     traffic: &mut Traffic,
-    ask: &Ask<'_>,
+    placement_request: &PlacementRequest<'_>,
     number: u64,
     now: Duration,
 ) -> Option<Placement> {
-    let Choice::Send(placement) = traffic.choose(ask, now) else { return None };
-    traffic.send(number, &placement, ask, now);
+    let Decision::Send(placement) = traffic.choose_upstream(placement_request, now) else {
+        return None;
+    };
+    traffic.send(number, &placement, placement_request, now);
     Some(placement)
 }
--- a/crates/bergamotpitch-control/tests/returning_callers.rs
+++ b/crates/bergamotpitch-control/tests/returning_callers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bergamotpitch_control::traffic::team_windows::{Options, Standing, TeamSums, TeamWindows};
+use bergamotpitch_control::traffic::team_windows::{Options, ShareClass, TeamSums, TeamWindows};
 
 const POOL_TOKENS_PER_S: u64 = 220_000;
 const LARGE: u32 = 9;
@@ -13,9 +13,9 @@
 /// begun as much as the whole pool gives in half a second.
 fn after_outage() -> TeamWindows {
     let mut windows = TeamWindows::new(Options::default());
-    (0..10).for_each(|team| windows.note_asked(100 + team, 3_000, NOW));
-    windows.note_asked(LARGE, 700_000, NOW);
-    windows.note_begun(LARGE, 110_000, NOW);
+    (0..10).for_each(|team| windows.record_request(100 + team, 3_000, NOW));
+    windows.record_request(LARGE, 700_000, NOW);
+    windows.record_dispatch(LARGE, 110_000, NOW);
     windows
 }
 
@@ -26,9 +26,9 @@
 #[test]
 fn whole_fleet() {
     let mut windows = after_outage();
-    let mut standing = |team| windows.standing(team, 8_000, Some(POOL_TOKENS_PER_S), NOW);
-    assert_eq!(standing(LARGE), Standing::BeyondEven);
-    assert_eq!(standing(100), Standing::WithinShare);
+    let mut share_class = |team| windows.share_class(team, 8_000, Some(POOL_TOKENS_PER_S), NOW);
+    assert_eq!(share_class(LARGE), ShareClass::BeyondEven);
+    assert_eq!(share_class(100), ShareClass::WithinShare);
 }
 
 /// One instance starts again beside others that have counted all the while: its shares are whole as
@@ -36,8 +36,8 @@
 #[test]
 fn single_instance() {
     let mut windows = after_outage();
-    let calm = TeamSums { asked_tokens: 500, begun_tokens: 500 };
-    windows.peer_heard(7, [(100, calm)], Duration::from_secs(60), NOW);
-    let standing = windows.standing(LARGE, 8_000, Some(POOL_TOKENS_PER_S), NOW);
-    assert_eq!(standing, Standing::WithinShare);
+    let calm = TeamSums { requested_tokens: 500, dispatched_tokens: 500 };
+    windows.set_peer_sums(7, [(100, calm)], Duration::from_secs(60), NOW);
+    let share_class = windows.share_class(LARGE, 8_000, Some(POOL_TOKENS_PER_S), NOW);
+    assert_eq!(share_class, ShareClass::WithinShare);
 }
--- a/crates/bergamotpitch-control/tests/slow_services.rs
+++ b/crates/bergamotpitch-control/tests/slow_services.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use bergamotpitch_control::traffic::admissions::{Ask, Choice, Options, Scope, Traffic};
+use bergamotpitch_control::traffic::admissions::{
+    Decision, Options, PlacementRequest, Scope, Traffic,
+};
 use bergamotpitch_control::traffic::facts::RequestFacts;
 use bergamotpitch_control::traffic::registries::Registration;
 
@@ -25,8 +27,8 @@
     traffic
 }
 
-fn ask(facts: &RequestFacts) -> Ask<'_> {
-    Ask {
+fn ask(facts: &RequestFacts) -> PlacementRequest<'_> {
+    PlacementRequest {
         service: "orders",
         facts,
         team: None,
@@ -46,7 +48,10 @@
     let facts = RequestFacts::default();
     let mut sent = Vec::new();
     for call in calls {
-        let Choice::Send(placement) = traffic.choose(&ask(&facts), Duration::ZERO) else { break };
+        let Decision::Send(placement) = traffic.choose_upstream(&ask(&facts), Duration::ZERO)
+        else {
+            break;
+        };
         traffic.send(call, &placement, &ask(&facts), Duration::ZERO);
         sent.push((call, placement.upstream));
     }
@@ -64,8 +69,8 @@
     let mut traffic = traffic();
     send(&mut traffic, 0..8, Duration::from_millis(2_000));
     let facts = RequestFacts::default();
-    let choice = traffic.choose(&ask(&facts), Duration::from_millis(2_100));
-    assert!(matches!(choice, Choice::Send(_)), "{choice:?}");
+    let choice = traffic.choose_upstream(&ask(&facts), Duration::from_millis(2_100));
+    assert!(matches!(choice, Decision::Send(_)), "{choice:?}");
 }
 
 /// A full service is not sent more than a short queue, however slow it is.
@@ -74,7 +79,7 @@
     let mut traffic = traffic();
     let facts = RequestFacts::default();
     let mut sent = 0;
-    while let Choice::Send(placement) = traffic.choose(&ask(&facts), Duration::ZERO) {
+    while let Decision::Send(placement) = traffic.choose_upstream(&ask(&facts), Duration::ZERO) {
         traffic.send(sent, &placement, &ask(&facts), Duration::ZERO);
         sent += 1;
     }
--- a/crates/bergamotpitch-control/tests/slower_engines.rs
+++ b/crates/bergamotpitch-control/tests/slower_engines.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use engines::Speed;
-use replays::{Asked, Fleet, arrivals, chosen, replay};
+use replays::{Fleet, OfferedRequest, arrivals, place_and_send, replay};
 
 const SLOWER: Speed = Speed {
     prefill_tokens_per_ms: 30.0,
@@ -16,12 +16,12 @@
 };
 
 /// Twice what the slower engines give; callers aim at 800 ms.
-fn load(seed: u64) -> Vec<Asked> {
-    let mut asked = arrivals(seed, 35.0, 0.7);
-    for request in &mut asked {
+fn load(seed: u64) -> Vec<OfferedRequest> {
+    let mut offered = arrivals(seed, 35.0, 0.7);
+    for request in &mut offered {
         request.target = Duration::from_millis(800);
     }
-    asked
+    offered
 }
 
 /// A customer's engines read a third as fast as assumed. Each of them looks nearly empty although
@@ -30,14 +30,14 @@
 #[test]
 fn third_speed() {
     for seed in 1..=3 {
-        let asked = load(seed);
-        let outcome = replay(&asked, Fleet { speed: SLOWER, ..Fleet::default() }, chosen);
+        let offered = load(seed);
+        let outcome = replay(&offered, Fleet { speed: SLOWER, ..Fleet::default() }, place_and_send);
         println!(
             "seed {seed}: asked {}, served {}, in time {}, small teams {:.2}",
-            asked.len(),
+            offered.len(),
             outcome.served,
             outcome.all_in_time(),
-            outcome.small_part_in_time()
+            outcome.small_teams_in_time()
         );
         assert!(0.9 * outcome.served as f64 <= outcome.all_in_time() as f64, "{seed}: {outcome:?}");
     }
--- a/crates/bergamotpitch-control/tests/stale_copies.rs
+++ b/crates/bergamotpitch-control/tests/stale_copies.rs
@@ -5,10 +5,10 @@
 
 use std::time::Duration;
 
-use replays::{Asked, Fleet, Outcome, arrivals, chosen, replay};
+use replays::{Fleet, OfferedRequest, Outcome, arrivals, place_and_send, replay};
 
 /// Its callers all reach one instance.
-const LONE: u32 = 1;
+const PINNED: u32 = 1;
 
 /// The two largest teams; they send ten times what the others do.
 const FLOODING: [u32; 2] = [8, 9];
@@ -18,40 +18,40 @@
 
 /// Two teams flood all the while; a small one begins to send seven times its usual, which is still
 /// within its share.
-fn sudden_team(seed: u64) -> Vec<Asked> {
-    let mut asked = arrivals(seed, 160.0, 0.95);
-    let is_quiet = |asked: &Asked| asked.arrived.as_secs() < WINDOW.start;
+fn sudden_team(seed: u64) -> Vec<OfferedRequest> {
+    let mut offered = arrivals(seed, 160.0, 0.95);
+    let is_quiet = |offered: &OfferedRequest| offered.arrived.as_secs() < WINDOW.start;
     let mut small = 0;
-    asked.retain(|request| {
-        small += usize::from(request.team == LONE);
-        request.team != LONE || !is_quiet(request) || small.is_multiple_of(7)
+    offered.retain(|request| {
+        small += usize::from(request.team == PINNED);
+        request.team != PINNED || !is_quiet(request) || small.is_multiple_of(7)
     });
-    for (index, request) in asked.iter_mut().enumerate() {
+    for (index, request) in offered.iter_mut().enumerate() {
         if request.team == FLOODING[1] && index % 3 == 0 {
             request.team = FLOODING[0];
         }
     }
-    asked
+    offered
 }
 
-fn begun(outcome: &Outcome, team: u32) -> u64 {
-    WINDOW.filter_map(|second| outcome.begun_tokens.get(&(team, second))).sum()
+fn started(outcome: &Outcome, team: u32) -> u64 {
+    WINDOW.filter_map(|second| outcome.started_tokens.get(&(team, second))).sum()
 }
 
 /// What the team asked or the best served one got, whichever is less, and what it got.
-fn due_and_begun(asked: &[Asked], outcome: &Outcome) -> (u64, u64) {
-    let of_team = asked.iter().filter(|request| request.team == LONE);
+fn due_and_started(offered: &[OfferedRequest], outcome: &Outcome) -> (u64, u64) {
+    let of_team = offered.iter().filter(|request| request.team == PINNED);
     let in_window = of_team.filter(|request| WINDOW.contains(&request.arrived.as_secs()));
-    let wanted: u64 = in_window.map(|request| request.facts.pool_tokens()).sum();
-    let best = FLOODING.iter().map(|team| begun(outcome, *team)).max().unwrap_or_default();
-    (wanted.min(best), begun(outcome, LONE))
+    let requested: u64 = in_window.map(|request| request.facts.pool_tokens()).sum();
+    let best = FLOODING.iter().map(|team| started(outcome, *team)).max().unwrap_or_default();
+    (requested.min(best), started(outcome, PINNED))
 }
 
-fn fleet(instances: usize, beat_interval_ms: u64) -> Fleet {
+fn fleet(instances: usize, heartbeat_interval_ms: u64) -> Fleet {
     Fleet {
         instances,
-        beat_interval: Duration::from_millis(beat_interval_ms),
-        lone_team: Some(LONE),
+        heartbeat_interval: Duration::from_millis(heartbeat_interval_ms),
+        pinned_team: Some(PINNED),
         ..Fleet::default()
     }
 }
@@ -60,28 +60,29 @@
 /// each other have given its places to teams beyond theirs.
 #[test]
 fn places_given_away() {
-    let mut is_starved_apart = false;
+    let mut is_starved_distributed = false;
     for seed in 1..=5 {
-        let asked = sudden_team(seed);
-        let apart = replay(&asked, fleet(12, 2_500), chosen);
-        let together = replay(&asked, fleet(1, 2_500), chosen);
-        let (due, got_apart) = due_and_begun(&asked, &apart);
-        is_starved_apart |= 2 * got_apart < due;
-        let (due, got) = due_and_begun(&asked, &together);
-        println!("seed {seed}: {got_apart} apart, {got} of {due} together");
+        let offered = sudden_team(seed);
+        let distributed = replay(&offered, fleet(12, 2_500), place_and_send);
+        let central = replay(&offered, fleet(1, 2_500), place_and_send);
+        let (due, got_distributed) = due_and_started(&offered, &distributed);
+        is_starved_distributed |= 2 * got_distributed < due;
+        let (due, got) = due_and_started(&offered, &central);
+        println!("seed {seed}: {got_distributed} apart, {got} of {due} together");
         assert!(due <= 2 * got, "{seed}: {got} of {due}");
-        assert!(apart.all_in_time() < together.all_in_time(), "{seed}");
-        assert!(apart.small_part_in_time() < together.small_part_in_time(), "{seed}");
+        assert!(distributed.all_in_time() < central.all_in_time(), "{seed}");
+        assert!(distributed.small_teams_in_time() < central.small_teams_in_time(), "{seed}");
     }
-    assert!(is_starved_apart, "the load no longer shows what one decider guards against");
+    assert!(is_starved_distributed, "the load no longer shows what one decider guards against");
 }
 
 /// A few instances that tell each other some times a second need no dispatcher.
 #[test]
 fn few_instances() {
     for seed in 1..=5 {
-        let asked = sudden_team(seed);
-        let (due, got) = due_and_begun(&asked, &replay(&asked, fleet(7, 360), chosen));
+        let offered = sudden_team(seed);
+        let (due, got) =
+            due_and_started(&offered, &replay(&offered, fleet(7, 360), place_and_send));
         assert!(due <= 2 * got, "{seed}: {got} of {due}");
     }
 }
--- a/crates/bergamotpitch-control/tests/needy_teams.rs
+++ b/crates/bergamotpitch-control/tests/underserved_teams.rs
@@ -2,19 +2,21 @@
 
 use std::time::Duration;
 
-use bergamotpitch_control::traffic::admissions::{Ask, Choice, Options, Placement, Scope, Traffic};
+use bergamotpitch_control::traffic::admissions::{
+    Decision, Options, Placement, PlacementRequest, Scope, Traffic,
+};
 use bergamotpitch_control::traffic::engine_loads::Work;
 use bergamotpitch_control::traffic::facts::RequestFacts;
 use bergamotpitch_control::traffic::registries::Registration;
-use bergamotpitch_control::traffic::team_windows::{Standing, TeamSums};
+use bergamotpitch_control::traffic::team_windows::{ShareClass, TeamSums};
 
 const NOW: Duration = Duration::from_secs(10);
 const FLOODING: u32 = 9;
-const NEEDY: u32 = 8;
+const UNDERSERVED: u32 = 8;
 
 /// One engine of 16 slots of which 12 are taken, and what a peer tells of two teams among 20 small
 /// ones that get what they ask for.
-fn traffic(needy: TeamSums) -> Traffic {
+fn traffic(underserved: TeamSums) -> Traffic {
     let mut traffic = Traffic::new(Options { domain: "a".to_owned(), ..Options::default() });
     traffic.registry.listed(Registration {
         id: "engine".to_owned(),
@@ -35,26 +37,26 @@
             work,
             predicted: Duration::ZERO,
             requests: 0,
-            standing: Standing::WithinShare,
+            share_class: ShareClass::WithinShare,
             rank: None,
             fetch_from: None,
         };
-        traffic.send(number, &placement, &ask(&short, None), NOW);
+        traffic.send(number, &placement, &placement_request(&short, None), NOW);
         traffic.begun(upstream, number, NOW);
     }
-    let flooding = TeamSums { asked_tokens: 30_000_000, begun_tokens: 2_200_000 };
-    let small = TeamSums { asked_tokens: 500_000, begun_tokens: 500_000 };
+    let flooding = TeamSums { requested_tokens: 30_000_000, dispatched_tokens: 2_200_000 };
+    let small = TeamSums { requested_tokens: 500_000, dispatched_tokens: 500_000 };
     let others = (100..120).map(|team| (team, small));
-    let teams = others.chain([(FLOODING, flooding), (NEEDY, needy)]);
-    traffic.windows.peer_heard(1, teams, NOW, NOW);
+    let teams = others.chain([(FLOODING, flooding), (UNDERSERVED, underserved)]);
+    traffic.windows.set_peer_sums(1, teams, NOW, NOW);
     traffic
 }
 
 /// What the engines are stated to give in a second.
 const STATED: u64 = 1_000_000;
 
-fn ask(facts: &RequestFacts, team: Option<u32>) -> Ask<'_> {
-    Ask {
+fn placement_request(facts: &RequestFacts, team: Option<u32>) -> PlacementRequest<'_> {
+    PlacementRequest {
         service: "engines",
         facts,
         team,
@@ -75,8 +77,9 @@
 
 fn is_sent_stated(traffic: &mut Traffic, team: u32, pool_tokens_per_s: Option<u64>) -> bool {
     let facts = RequestFacts { prompt_tokens: 500, ..RequestFacts::default() };
-    let ask = Ask { pool_tokens_per_s, ..ask(&facts, Some(team)) };
-    matches!(traffic.choose(&ask, NOW), Choice::Send(_))
+    let placement_request =
+        PlacementRequest { pool_tokens_per_s, ..placement_request(&facts, Some(team)) };
+    matches!(traffic.choose_upstream(&placement_request, NOW), Decision::Send(_))
 }
 
 /// A team floods many instances and gets 2.2 million tokens, while another asks for 5 million and
@@ -84,30 +87,30 @@
 /// and were given what room there was alike, and whoever asked at more places found it first.
 #[test]
 fn starved_beside_flood() {
-    let needy = TeamSums { asked_tokens: 5_000_000, begun_tokens: 1_000_000 };
-    let mut traffic = traffic(needy);
-    assert!(is_sent(&mut traffic, NEEDY));
+    let underserved = TeamSums { requested_tokens: 5_000_000, dispatched_tokens: 1_000_000 };
+    let mut traffic = traffic(underserved);
+    assert!(is_sent(&mut traffic, UNDERSERVED));
     assert!(!is_sent(&mut traffic, FLOODING), "the last slots are for the other");
 }
 
 /// Whoever got nearly all of what it asked beyond its share, or asked for little in vain, is not needy:
 /// the last slots of the engines are kept for those within their share.
 #[test]
-fn nobody_needy() {
-    let served = TeamSums { asked_tokens: 3_000_000, begun_tokens: 2_700_000 };
-    assert!(!is_sent(&mut traffic(served), NEEDY));
-    let little = TeamSums { asked_tokens: 800_000, begun_tokens: 500_000 };
-    assert!(!is_sent(&mut traffic(little), NEEDY), "it asked for 300,000 tokens in vain");
+fn nobody_underserved() {
+    let served = TeamSums { requested_tokens: 3_000_000, dispatched_tokens: 2_700_000 };
+    assert!(!is_sent(&mut traffic(served), UNDERSERVED));
+    let little = TeamSums { requested_tokens: 800_000, dispatched_tokens: 500_000 };
+    assert!(!is_sent(&mut traffic(little), UNDERSERVED), "it asked for 300,000 tokens in vain");
 }
 
 /// Guards against shares by a stated rate that the engines do not reach: all teams are within them, and
 /// whoever asks most gets most.
 #[test]
 fn stated_too_high() {
-    let needy = TeamSums { asked_tokens: 900_000, begun_tokens: 200_000 };
+    let underserved = TeamSums { requested_tokens: 900_000, dispatched_tokens: 200_000 };
     for pool_tokens_per_s in [Some(5 * STATED), Some(100 * STATED), None] {
-        let mut traffic = traffic(needy);
-        assert!(is_sent_stated(&mut traffic, NEEDY, pool_tokens_per_s));
+        let mut traffic = traffic(underserved);
+        assert!(is_sent_stated(&mut traffic, UNDERSERVED, pool_tokens_per_s));
         assert!(
             !is_sent_stated(&mut traffic, FLOODING, pool_tokens_per_s),
             "{pool_tokens_per_s:?}: the last slots are for the other"
--- a/crates/bergamotpitch-control/tests/worst_load.rs
+++ b/crates/bergamotpitch-control/tests/worst_load.rs
@@ -6,14 +6,14 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use bergamotpitch_control::traffic::admissions::{Ask, Placement, Traffic};
-use bergamotpitch_control::traffic::team_windows::Standing;
-use replays::{Asked, Fleet, SLOTS, arrivals, chosen, replay};
+use bergamotpitch_control::traffic::admissions::{Placement, PlacementRequest, Traffic};
+use bergamotpitch_control::traffic::team_windows::ShareClass;
+use replays::{Fleet, OfferedRequest, SLOTS, arrivals, place_and_send, replay};
 
 /// First come, first served at the engine with the fewest requests, whatever its prompts are.
 fn first_come(
     traffic: &mut Traffic,
-    ask: &Ask<'_>,
+    placement_request: &PlacementRequest<'_>,
     number: u64,
     now: Duration,
 ) -> Option<Placement> {
@@ -28,11 +28,11 @@
         work: Default::default(),
         predicted: Duration::ZERO,
         requests,
-        standing: Standing::WithinShare,
+        share_class: ShareClass::WithinShare,
         rank: None,
         fetch_from: None,
     };
-    traffic.send(number, &placement, ask, now);
+    traffic.send(number, &placement, placement_request, now);
     Some(placement)
 }
 
@@ -41,26 +41,26 @@
 #[test]
 fn twice_the_load() {
     for seed in 1..=3 {
-        let asked = arrivals(seed, 95.0, 0.7);
-        let ours = replay(&asked, Fleet::default(), chosen);
-        let plain = replay(&asked, Fleet::default(), first_come);
+        let offered = arrivals(seed, 95.0, 0.7);
+        let ours = replay(&offered, Fleet::default(), place_and_send);
+        let plain = replay(&offered, Fleet::default(), first_come);
         println!(
             "seed {seed}: asked {}, in time {} against {}, served {} against {}, small teams {:.2} \
              against {:.2}, read again {:.0} against {:.0} tokens",
-            asked.len(),
+            offered.len(),
             ours.all_in_time(),
             plain.all_in_time(),
             ours.served,
             plain.served,
-            ours.small_part_in_time(),
-            plain.small_part_in_time(),
-            ours.read_again_tokens,
-            plain.read_again_tokens,
+            ours.small_teams_in_time(),
+            plain.small_teams_in_time(),
+            ours.reread_tokens,
+            plain.reread_tokens,
         );
         assert!(2 * plain.all_in_time() < ours.all_in_time(), "{seed}: {ours:?} {plain:?}");
         // What is sent is in time: the rest was told at once to come back.
         assert!(0.9 * ours.served as f64 <= ours.all_in_time() as f64, "{seed}: {ours:?}");
-        assert!(ours.read_again_tokens < 0.8 * plain.read_again_tokens, "{seed}: {ours:?}");
+        assert!(ours.reread_tokens < 0.8 * plain.reread_tokens, "{seed}: {ours:?}");
     }
 }
 
@@ -69,24 +69,25 @@
 #[test]
 fn flooding_team() {
     for seed in 1..=3 {
-        let ours = replay(&arrivals(seed, 95.0, 0.93), Fleet::default(), chosen);
-        assert!(0.95 <= ours.small_part_in_time(), "{seed}: {:.3}", ours.small_part_in_time());
+        let ours = replay(&arrivals(seed, 95.0, 0.93), Fleet::default(), place_and_send);
+        assert!(0.95 <= ours.small_teams_in_time(), "{seed}: {:.3}", ours.small_teams_in_time());
     }
 }
 
 /// Replays a load; returns the tokens of the pool that each team's begun and asked requests took.
-fn begun_and_wanted(asked: &[Asked]) -> (HashMap<u32, u64>, HashMap<u32, u64>) {
-    let mut begun: HashMap<u32, u64> = HashMap::new();
-    let mut wanted: HashMap<u32, u64> = HashMap::new();
-    for request in asked {
-        *wanted.entry(request.team).or_default() += request.facts.pool_tokens();
+fn dispatched_and_requested(offered: &[OfferedRequest]) -> (HashMap<u32, u64>, HashMap<u32, u64>) {
+    let mut dispatched: HashMap<u32, u64> = HashMap::new();
+    let mut requested: HashMap<u32, u64> = HashMap::new();
+    for request in offered {
+        *requested.entry(request.team).or_default() += request.facts.pool_tokens();
     }
-    replay(asked, Fleet::default(), |traffic, ask, number, now| {
-        let placement = chosen(traffic, ask, number, now)?;
-        *begun.entry(ask.team?).or_default() += ask.facts.pool_tokens();
+    replay(offered, Fleet::default(), |traffic, placement_request, number, now| {
+        let placement = place_and_send(traffic, placement_request, number, now)?;
+        *dispatched.entry(placement_request.team?).or_default() +=
+            placement_request.facts.pool_tokens();
         Some(placement)
     });
-    (begun, wanted)
+    (dispatched, requested)
 }
 
 /// Two teams ask for more than their share, one of them four times as much as the other. What the
@@ -95,16 +96,16 @@
 #[test]
 fn even_surplus() {
     for seed in 1..=3 {
-        let mut asked = arrivals(seed, 120.0, 0.9);
-        for (index, request) in asked.iter_mut().enumerate() {
+        let mut offered = arrivals(seed, 120.0, 0.9);
+        for (index, request) in offered.iter_mut().enumerate() {
             if request.team == 9 && index % 5 == 0 {
                 request.team = 8;
             }
         }
-        let (begun, wanted) = begun_and_wanted(&asked);
-        let due = wanted[&8].min(begun[&9]);
-        println!("seed {seed}: begun {begun:?} wanted {wanted:?}");
-        assert!(due * 7 / 10 <= begun[&8], "{seed}: {} of {due}", begun[&8]);
+        let (dispatched, requested) = dispatched_and_requested(&offered);
+        let due = requested[&8].min(dispatched[&9]);
+        println!("seed {seed}: begun {dispatched:?} wanted {requested:?}");
+        assert!(due * 7 / 10 <= dispatched[&8], "{seed}: {} of {due}", dispatched[&8]);
     }
 }
 
@@ -113,10 +114,10 @@
 #[test]
 fn light_load() {
     for seed in 1..=3 {
-        let asked = arrivals(seed, 15.0, 0.7);
-        let ours = replay(&asked, Fleet::default(), chosen);
-        let refused = asked.len() - ours.served;
-        assert!(refused * 50 <= asked.len(), "{seed}: {refused} of {} refused", asked.len());
+        let offered = arrivals(seed, 15.0, 0.7);
+        let ours = replay(&offered, Fleet::default(), place_and_send);
+        let refused = offered.len() - ours.served;
+        assert!(refused * 50 <= offered.len(), "{seed}: {refused} of {} refused", offered.len());
     }
 }
 
@@ -125,18 +126,18 @@
 /// beyond the shares must not all go to the second, as reading the start on another engine costs the
 /// first no more than it costs the others.
 #[test]
-fn one_start() {
+fn one_shared_prefix() {
     for seed in 1..=3 {
-        let mut asked = arrivals(seed, 120.0, 0.9);
-        for (index, request) in asked.iter_mut().enumerate() {
+        let mut offered = arrivals(seed, 120.0, 0.9);
+        for (index, request) in offered.iter_mut().enumerate() {
             if request.team == 9 && index % 2 == 0 {
                 request.team = 8;
                 request.facts.prefix[0].id = 77;
             }
         }
-        let (begun, wanted) = begun_and_wanted(&asked);
-        let due = wanted[&8].min(begun[&9]);
-        println!("seed {seed}: begun {begun:?} wanted {wanted:?}");
-        assert!(due * 6 / 10 <= begun[&8], "{seed}: {} of {due}", begun[&8]);
+        let (dispatched, requested) = dispatched_and_requested(&offered);
+        let due = requested[&8].min(dispatched[&9]);
+        println!("seed {seed}: begun {dispatched:?} wanted {requested:?}");
+        assert!(due * 6 / 10 <= dispatched[&8], "{seed}: {} of {due}", dispatched[&8]);
     }
 }
--- a/crates/bergamotpitch-gateway/src/asks.rs
+++ b/crates/bergamotpitch-gateway/src/asks.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use bergamotpitch_control::traffic::admissions::{Choice, Placement};
+use bergamotpitch_control::traffic::admissions::{Decision, Placement};
 use bergamotpitch_control::traffic::engine_loads::{Figures, RequestNumber};
 use bergamotpitch_control::traffic::grants::{CONFIRM_INTERVAL, HeldGrant, HeldGrants};
 use bergamotpitch_control::traffic::registries::UpstreamKey;
@@ -76,9 +76,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Decided {
     /// Who decided.
-    pub granter: Granter,
+    pub grantor: Granter,
     /// The decision.
-    pub choice: Choice,
+    pub choice: Decision,
 }
 
 /// `PendingAsk` forgets an ask when it is dropped. Where nobody took up its reply, the dispatcher is
@@ -116,16 +116,16 @@
     let body = gateway.ask_of_call(call, tried, number, may_go_on);
     let outcome = wait_for_reply(gateway, &pending, address, call, body).await;
     ask.is_settled = outcome.is_some();
-    let Some((granter, outcome)) = outcome else {
+    let Some((grantor, outcome)) = outcome else {
         gateway.metrics.unanswered_asks.inc();
         let now = gateway.now();
         gateway.asks.unanswered.borrow_mut().insert(dispatcher, now);
         return None;
     };
     match gateway.choice_of_reply(&outcome) {
-        Some(choice) => Some(Decided { granter, choice }),
+        Some(choice) => Some(Decided { grantor, choice }),
         None => {
-            gateway.tell_granter(granter.instance, number, NoteEvent::Dropped);
+            gateway.tell_granter(grantor.instance, number, NoteEvent::Dropped);
             None
         }
     }
@@ -190,7 +190,7 @@
             number,
             // What may not go on was counted by whoever looked for a place before.
             is_first: may_go_on && tried.is_empty(),
-            asker: None,
+            requester: None,
             may_go_on,
             service: id_of_name(&call.service),
             team: call.team.as_ref().map(|team| id_of_name(&team.name)),
@@ -205,28 +205,28 @@
     }
 
     /// The decision as this instance can follow it; `None` when it knows better.
-    fn choice_of_reply(&self, outcome: &ReplyOutcome) -> Option<Choice> {
+    fn choice_of_reply(&self, outcome: &ReplyOutcome) -> Option<Decision> {
         let after = |after_ms: u32| Duration::from_millis(after_ms.into());
         match outcome {
             ReplyOutcome::Granted(line) => {
                 let placement = line.placement(&self.traffic.borrow().registry)?;
-                Some(Choice::Send(placement))
+                Some(Decision::Send(placement))
             }
-            ReplyOutcome::Full { after_ms, standing, least_requests } => Some(Choice::Full {
-                after: after(*after_ms),
-                standing: *standing,
+            ReplyOutcome::Full { after_ms, share_class, least_requests } => Some(Decision::Full {
+                retry_after: after(*after_ms),
+                share_class: *share_class,
                 least_requests: *least_requests,
             }),
-            ReplyOutcome::NoUpstream { after_ms } => Some(Choice::NoUpstream(after(*after_ms))),
+            ReplyOutcome::NoUpstream { after_ms } => Some(Decision::NoUpstream(after(*after_ms))),
             ReplyOutcome::Waits | ReplyOutcome::Declined => None,
         }
     }
 
     /// `take_reply` takes in a reply to an ask.
-    pub(crate) fn take_reply(self: &Rc<Self>, granter: Granter, reply: &Reply) {
+    pub(crate) fn take_reply(self: &Rc<Self>, grantor: Granter, reply: &Reply) {
         let pending = self.asks.pending.borrow().get(&reply.number).cloned();
         let Some(pending) = pending else {
-            self.take_late_reply(granter, reply);
+            self.take_late_reply(grantor, reply);
             return;
         };
         match reply.outcome {
@@ -234,7 +234,7 @@
             outcome => {
                 // An ask that was sent twice is answered twice.
                 if pending.decided.get().is_none() {
-                    pending.decided.set(Some((granter, outcome)));
+                    pending.decided.set(Some((grantor, outcome)));
                 }
             }
         }
@@ -242,30 +242,30 @@
     }
 
     /// A place that nobody waits for any more is given back.
-    fn take_late_reply(self: &Rc<Self>, granter: Granter, reply: &Reply) {
+    fn take_late_reply(self: &Rc<Self>, grantor: Granter, reply: &Reply) {
         let is_in_hand = self.asks.held.borrow().contains_key(&reply.number);
         if matches!(reply.outcome, ReplyOutcome::Granted(_)) && !is_in_hand {
-            self.tell_granter(granter.instance, reply.number, NoteEvent::Dropped);
+            self.tell_granter(grantor.instance, reply.number, NoteEvent::Dropped);
         }
     }
 
     /// `hold_grant` takes in that a granted request is sent.
-    pub(crate) fn hold_grant(&self, number: RequestNumber, granter: Granter, placement: Placement) {
-        let Granter { instance: granter, incarnation: granter_life } = granter;
-        let grant = HeldGrant { granter, granter_life, placement, has_begun: false };
+    pub(crate) fn hold_grant(&self, number: RequestNumber, grantor: Granter, placement: Placement) {
+        let Granter { instance: grantor, incarnation: grantor_incarnation } = grantor;
+        let grant = HeldGrant { grantor, grantor_incarnation, placement, has_begun: false };
         self.asks.held.borrow_mut().insert(number, grant);
     }
 
     /// `grant_begun` takes in the first event of a granted request; it tells whether it was one.
     pub(crate) fn grant_begun(self: &Rc<Self>, number: RequestNumber) -> bool {
-        let granter = match self.asks.held.borrow_mut().get_mut(&number) {
+        let grantor = match self.asks.held.borrow_mut().get_mut(&number) {
             Some(grant) => {
                 grant.has_begun = true;
-                grant.granter
+                grant.grantor
             }
             None => return false,
         };
-        self.tell_granter(granter, number, NoteEvent::Begun);
+        self.tell_granter(grantor, number, NoteEvent::Begun);
         true
     }
 
@@ -273,7 +273,7 @@
     pub(crate) fn grant_ended(self: &Rc<Self>, number: RequestNumber, event: NoteEvent) -> bool {
         let ended = self.asks.held.borrow_mut().remove(&number);
         let Some(grant) = ended else { return false };
-        self.tell_granter(grant.granter, number, event);
+        self.tell_granter(grant.grantor, number, event);
         true
     }
 
@@ -281,12 +281,12 @@
     /// milliseconds go together.
     pub(crate) fn tell_granter(
         self: &Rc<Self>,
-        granter: InstanceId,
+        grantor: InstanceId,
         number: RequestNumber,
         event: NoteEvent,
     ) {
         let asks = &self.asks;
-        asks.notes.borrow_mut().entry(granter).or_default().push(Note { number, event });
+        asks.notes.borrow_mut().entry(grantor).or_default().push(Note { number, event });
         if asks.flush_is_due.replace(true) {
             return;
         }
@@ -300,8 +300,8 @@
     fn flush_notes(&self) {
         self.asks.flush_is_due.set(false);
         let notes = std::mem::take(&mut *self.asks.notes.borrow_mut());
-        for (granter, notes) in notes {
-            let Some(address) = self.beat_address_of(granter) else { continue };
+        for (grantor, notes) in notes {
+            let Some(address) = self.beat_address_of(grantor) else { continue };
             for notes in notes.chunks(NOTES_MAX) {
                 self.send_message(Body::Progress(notes.to_vec()), address);
             }
@@ -318,17 +318,17 @@
         let mut of_granter: HashMap<InstanceId, Held> = HashMap::default();
         let traffic = self.traffic.borrow();
         for (number, grant) in &*asks.held.borrow() {
-            let held = of_granter.entry(grant.granter).or_default();
+            let held = of_granter.entry(grant.grantor).or_default();
             held.numbers.push(*number);
             let key = grant.placement.upstream;
             let Some(upstream) = traffic.registry.get(key) else { continue };
             let life = upstream.life_number;
             if held.silences.iter().all(|(known, _)| *known != life) {
-                held.silences.push((life, millis(traffic.silence(key, now))));
+                held.silences.push((life, millis(traffic.time_since_last_byte(key, now))));
             }
         }
-        for (granter, held) in of_granter {
-            let Some(address) = self.beat_address_of(granter) else { continue };
+        for (grantor, held) in of_granter {
+            let Some(address) = self.beat_address_of(grantor) else { continue };
             for (index, numbers) in held.numbers.chunks(HELD_MAX).enumerate() {
                 let silences = if index == 0 { held.silences.clone() } else { Vec::new() };
                 let held = Held { numbers: numbers.to_vec(), silences };
@@ -346,9 +346,9 @@
         let traffic = self.traffic.borrow();
         let mut figures: HashMap<UpstreamId, Figures> = HashMap::default();
         for grant in self.asks.held.borrow().values() {
-            let HeldGrant { granter, granter_life, placement, has_begun } = *grant;
+            let HeldGrant { grantor, grantor_incarnation, placement, has_begun } = *grant;
             let Some(upstream) = traffic.registry.get(placement.upstream) else { continue };
-            if is_left_out(Granter { instance: granter, incarnation: granter_life }) {
+            if is_left_out(Granter { instance: grantor, incarnation: grantor_incarnation }) {
                 continue;
             }
             let unread_tokens = if has_begun { 0.0 } else { placement.work.unread_tokens };
--- a/crates/bergamotpitch-gateway/src/beats.rs
+++ b/crates/bergamotpitch-gateway/src/beats.rs
@@ -164,10 +164,10 @@
     let peers = gateway.peers.borrow();
     let mut own: Vec<&Peer> =
         peers.values().filter(|peer| peer.address.domain == *domain).collect();
-    let silence = gateway.options.dispatchers.silence;
+    let heartbeat_timeout = gateway.options.dispatchers.heartbeat_timeout;
     own.sort_by_key(|peer| {
         let candidate = peer.candidate();
-        (candidate.heard + silence <= now, candidate.order())
+        (candidate.last_seen + heartbeat_timeout <= now, candidate.order())
     });
     let standbys = own.into_iter().take(gateway.options.dispatchers.standbys);
     standbys.map(|peer| peer.address.clone()).collect()
@@ -200,7 +200,7 @@
         list_change: gateway.list_change(),
         watches: !gateway.relies_on_peers(),
         relay_number: gateway.store_news.relay.borrow().last_number(),
-        is_able: gateway.is_able(),
+        is_eligible: gateway.is_eligible(),
         is_dispatcher: gateway.is_dispatcher(),
         counted_ms: u64::try_from(gateway.now().as_millis()).unwrap_or(u64::MAX),
         leaving: leaving.map(|upstream| upstream.life_number).collect(),
@@ -227,9 +227,9 @@
 /// told by it.
 fn beat_to_standby(gateway: &Gateway, receiver: InstanceId) -> Beat {
     let dispatcher = gateway.role().dispatcher;
-    let is_known = |granter: Granter| {
-        let is_told = [Some(receiver), dispatcher].contains(&Some(granter.instance));
-        is_told && gateway.life_of(granter.instance) == Some(granter.incarnation)
+    let is_known = |grantor: Granter| {
+        let is_told = [Some(receiver), dispatcher].contains(&Some(grantor.instance));
+        is_told && gateway.life_of(grantor.instance) == Some(grantor.incarnation)
     };
     let is_dispatcher = gateway.is_dispatcher();
     Beat {
@@ -290,7 +290,7 @@
     is_included: impl Fn(InstanceId) -> bool,
 ) -> Vec<TeamLine> {
     let now = gateway.now();
-    let sums = gateway.traffic.borrow_mut().windows.sums_with(with_own, is_included, now);
+    let sums = gateway.traffic.borrow_mut().windows.combined_sums(with_own, is_included, now);
     sums.into_iter().collect()
 }
 
@@ -428,9 +428,9 @@
     gateway.take_in_starts(&beat.starts, now);
     let counted = Duration::from_millis(beat.counted_ms);
     let mut traffic = gateway.traffic.borrow_mut();
-    traffic.windows.peer_told(instance, beat.teams.iter().copied(), counted, now);
+    traffic.windows.set_peer_counts(instance, beat.teams.iter().copied(), counted, now);
     if beat.is_dispatcher && gateway.is_of_own_domain(instance) {
-        traffic.windows.elsewhere_heard(beat.elsewhere.iter().copied(), counted, now);
+        traffic.windows.set_remote_domains(beat.elsewhere.iter().copied(), counted, now);
     }
     drop(traffic);
     if beat.is_dispatcher && !gateway.is_of_own_domain(instance) {
@@ -444,7 +444,7 @@
     fn remote_dispatcher_heard(&self, dispatcher: InstanceId, beat: &Beat) {
         self.rooms_heard(dispatcher, &beat.rooms);
         let mut traffic = self.traffic.borrow_mut();
-        traffic.windows.forget_elsewhere();
+        traffic.windows.clear_remote_domains();
         let peers = self.peers.borrow();
         let Some(domain) = peers.get(&dispatcher).map(|peer| &peer.address.domain) else { return };
         let others = peers.values().filter(|peer| peer.address.domain == *domain);
--- a/crates/bergamotpitch-gateway/src/calls.rs
+++ b/crates/bergamotpitch-gateway/src/calls.rs
@@ -283,12 +283,12 @@
     if !is_limited || gateway.streams.admits_all() {
         return None;
     }
-    let standing = gateway.standing(catalog, team, facts);
+    let share_class = gateway.share_class(catalog, team, facts);
     let team = team.map_or(NO_TEAM, |team| id_of_name(&team.name));
-    if gateway.streams.admits(team, standing) {
+    if gateway.streams.admits(team, share_class) {
         return None;
     }
-    let inputs = Inputs { standing: Some(standing), ..Inputs::default() };
+    let inputs = Inputs { share_class: Some(share_class), ..Inputs::default() };
     let refusal = Refusal::not_run(RefusalReason::InstanceBusy, BUSY_INSTANCE_RETURN);
     Some(refusal.decided_on(inputs))
 }
@@ -510,8 +510,8 @@
             placement.work.unread_tokens,
             placement.rank,
             placement.fetch_from.and_then(|key| gateway.id_of(key)).as_deref().unwrap_or("-"),
-            placement.standing,
-            placed.granter.map_or(0, |granter| granter.instance),
+            placement.share_class,
+            placed.grantor.map_or(0, |grantor| grantor.instance),
             waited.as_millis(),
             call.catalog.version,
         ),
--- a/crates/bergamotpitch-gateway/src/dispatchers.rs
+++ b/crates/bergamotpitch-gateway/src/dispatchers.rs
@@ -5,12 +5,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use bergamotpitch_control::traffic::admissions::{Choice, Room, Scope};
+use bergamotpitch_control::traffic::admissions::{Decision, Headroom, Scope};
 use bergamotpitch_control::traffic::dispatchers::{Candidate, Role, role_of};
 use bergamotpitch_control::traffic::engine_loads::RequestNumber;
 use bergamotpitch_control::traffic::grants::{Grant, Grants};
-use bergamotpitch_control::traffic::team_windows::Standing;
-use bergamotpitch_control::traffic::waiting_asks::{OwnedAsk, WaitingAsks, place};
+use bergamotpitch_control::traffic::placement_queues::{
+    OwnedPlacementRequest, PlacementQueue, place,
+};
+use bergamotpitch_control::traffic::team_windows::ShareClass;
 use bergamotpitch_core::HashMap;
 use bergamotpitch_core::events::EventKind;
 use bergamotpitch_core::ids::{Incarnation, InstanceId, ServiceId, id_of_name};
@@ -33,11 +35,11 @@
 /// `Dispatches` are the requests on which this instance decides, its own and others'.
 #[derive(Debug, Default)]
 pub struct Dispatches {
-    waiting: RefCell<WaitingAsks>,
+    waiting: RefCell<PlacementQueue>,
     grants: RefCell<Grants>,
     replies: RefCell<HashMap<RequestNumber, ReplyTo>>,
     /// What the dispatchers of other domains told of their room, less what was handed on since.
-    rooms: RefCell<HashMap<InstanceId, HashMap<ServiceId, Room>>>,
+    rooms: RefCell<HashMap<InstanceId, HashMap<ServiceId, Headroom>>>,
     has_changed: Cell<bool>,
     is_looking: Cell<bool>,
     role: Cell<Role>,
@@ -45,8 +47,8 @@
 
 #[derive(Debug)]
 enum ReplyTo {
-    Own(oneshot::Sender<Choice>),
-    Peer { asker: InstanceId, number: RequestNumber },
+    Own(oneshot::Sender<Decision>),
+    Peer { requester: InstanceId, number: RequestNumber },
 }
 
 /// `OwnWait` is a request of this instance that waits for its decision; dropping it frees the place
@@ -54,7 +56,7 @@
 struct OwnWait<'a> {
     gateway: &'a Rc<Gateway>,
     number: RequestNumber,
-    choice: oneshot::Receiver<Choice>,
+    choice: oneshot::Receiver<Decision>,
 }
 
 impl Drop for OwnWait<'_> {
@@ -62,7 +64,7 @@
         let dispatches = &self.gateway.dispatches;
         dispatches.replies.borrow_mut().remove(&self.number);
         dispatches.waiting.borrow_mut().remove(self.number);
-        if let Ok(Choice::Send(placement)) = self.choice.try_recv() {
+        if let Ok(Decision::Send(placement)) = self.choice.try_recv() {
             self.gateway.traffic.borrow_mut().load(placement.upstream).ended(self.number);
         }
     }
@@ -96,9 +98,9 @@
         let own = Candidate {
             instance: self.options.instance,
             processor_millis: self.options.processor_millis,
-            heard: now,
-            is_able: self.is_able(),
-            is_settled: SETTLED_TIME <= now,
+            last_seen: now,
+            is_eligible: self.is_eligible(),
+            is_warmed_up: SETTLED_TIME <= now,
         };
         let domain = &self.options.admission.domain;
         let peers = self.peers.borrow();
@@ -130,21 +132,29 @@
         }
     }
 
-    /// `is_able` tells whether this instance can be the dispatcher of its domain.
-    pub(crate) fn is_able(&self) -> bool {
+    /// `is_eligible` tells whether this instance can be the dispatcher of its domain.
+    pub(crate) fn is_eligible(&self) -> bool {
         self.knows_all() && !self.is_draining() && self.lateness.keeps_up()
     }
 
     /// `place_here` decides on a request of this instance by its own books.
-    pub(crate) fn place_here(&self, number: RequestNumber, ask: &OwnedAsk) -> Choice {
+    pub(crate) fn place_here(
+        &self,
+        number: RequestNumber,
+        ask: &OwnedPlacementRequest,
+    ) -> Decision {
         place(number, ask, &mut self.traffic.borrow_mut(), self.now())
     }
 
     /// `decide` does so, and lets the request wait for a place for as long as it may.
-    pub(crate) async fn decide(self: &Rc<Self>, number: RequestNumber, ask: OwnedAsk) -> Choice {
+    pub(crate) async fn decide(
+        self: &Rc<Self>,
+        number: RequestNumber,
+        ask: OwnedPlacementRequest,
+    ) -> Decision {
         let now = self.now();
         let choice = self.place_here(number, &ask);
-        if matches!(choice, Choice::Send(_)) || ask.hold_until(&choice) <= now {
+        if matches!(choice, Decision::Send(_)) || ask.wait_deadline(&choice) <= now {
             return choice;
         }
         let (sender, receiver) = oneshot::channel();
@@ -157,13 +167,13 @@
     fn wait(
         self: &Rc<Self>,
         number: RequestNumber,
-        ask: OwnedAsk,
-        choice: Choice,
+        ask: OwnedPlacementRequest,
+        choice: Decision,
         reply_to: ReplyTo,
     ) {
         let now = self.now();
         self.dispatches.replies.borrow_mut().insert(number, reply_to);
-        self.dispatches.waiting.borrow_mut().wait(number, ask, choice, now);
+        self.dispatches.waiting.borrow_mut().enqueue(number, ask, choice, now);
         if !self.dispatches.is_looking.replace(true) {
             tokio::task::spawn_local(look_again(Rc::clone(self)));
         }
@@ -187,7 +197,7 @@
         let mut waiting = self.dispatches.waiting.borrow_mut();
         let mut decided = waiting.expire(&mut traffic, now);
         if self.dispatches.has_changed.replace(false) {
-            decided.extend(waiting.look(&mut traffic, now));
+            decided.extend(waiting.retry_placements(&mut traffic, now));
         }
         drop((traffic, waiting));
         for (number, choice) in decided {
@@ -195,14 +205,14 @@
         }
     }
 
-    fn reply(self: &Rc<Self>, own_number: RequestNumber, choice: Choice) {
+    fn reply(self: &Rc<Self>, own_number: RequestNumber, choice: Decision) {
         match self.dispatches.replies.borrow_mut().remove(&own_number) {
             Some(ReplyTo::Own(sender)) => {
                 // The receiver frees the place when it is dropped, and none is left without one.
                 let _ = sender.send(choice);
             }
-            Some(ReplyTo::Peer { asker, number }) => {
-                self.reply_to_peer(asker, number, own_number, &choice);
+            Some(ReplyTo::Peer { requester, number }) => {
+                self.reply_to_peer(requester, number, own_number, &choice);
             }
             None => {}
         }
@@ -210,21 +220,24 @@
 
     fn reply_to_peer(
         &self,
-        asker: InstanceId,
+        requester: InstanceId,
         number: RequestNumber,
         own_number: RequestNumber,
-        choice: &Choice,
+        choice: &Decision,
     ) {
-        if let Choice::Send(placement) = choice {
+        if let Decision::Send(placement) = choice {
             let now = self.now();
-            self.dispatches.grants.borrow_mut().note(asker, number, own_number, *placement, now);
+            self.dispatches
+                .grants
+                .borrow_mut()
+                .insert(requester, number, own_number, *placement, now);
         }
         let outcome = ReplyOutcome::new(choice, &self.traffic.borrow().registry);
-        self.send_reply(asker, number, outcome.unwrap_or(ReplyOutcome::Declined));
+        self.send_reply(requester, number, outcome.unwrap_or(ReplyOutcome::Declined));
     }
 
-    fn send_reply(&self, asker: InstanceId, number: RequestNumber, outcome: ReplyOutcome) {
-        if let Some(address) = self.beat_address_of(asker) {
+    fn send_reply(&self, requester: InstanceId, number: RequestNumber, outcome: ReplyOutcome) {
+        if let Some(address) = self.beat_address_of(requester) {
             self.send_message(Body::Reply(Reply { number, outcome }), address);
         }
     }
@@ -236,41 +249,41 @@
         incarnation: Incarnation,
         body: AskBody,
     ) {
-        let (asker, incarnation) = body.asker.unwrap_or((sender, incarnation));
-        self.take_asker_life(asker, incarnation);
+        let (requester, incarnation) = body.requester.unwrap_or((sender, incarnation));
+        self.take_asker_life(requester, incarnation);
         let number = body.number;
-        if let Some(outcome) = self.outcome_of_repeat(asker, number) {
-            self.send_reply(asker, number, outcome);
+        if let Some(outcome) = self.outcome_of_repeat(requester, number) {
+            self.send_reply(requester, number, outcome);
             return;
         }
         let Some(ask) = self.owned_ask(&body).filter(|_| !self.is_draining()) else {
-            self.send_reply(asker, number, ReplyOutcome::Declined);
+            self.send_reply(requester, number, ReplyOutcome::Declined);
             return;
         };
         let now = self.now();
-        if body.is_first && body.asker.is_none() {
+        if body.is_first && body.requester.is_none() {
             self.note_asked(&ask, now);
         }
         let own_number = self.fresh_number();
         let choice = place(own_number, &ask, &mut self.traffic.borrow_mut(), now);
-        if matches!(choice, Choice::Send(_)) {
-            self.reply_to_peer(asker, number, own_number, &choice);
+        if matches!(choice, Decision::Send(_)) {
+            self.reply_to_peer(requester, number, own_number, &choice);
             return;
         }
         if body.may_go_on
             && let Some(next) = self.take_room(body.service, &choice)
         {
-            let asker = Some((asker, incarnation));
+            let requester = Some((requester, incarnation));
             self.send_reply(sender, number, ReplyOutcome::Waits);
-            self.hand_on(next, AskBody { asker, may_go_on: false, ..body });
+            self.hand_on(next, AskBody { requester, may_go_on: false, ..body });
             return;
         }
-        if ask.hold_until(&choice) <= now {
-            self.reply_to_peer(asker, number, own_number, &choice);
+        if ask.wait_deadline(&choice) <= now {
+            self.reply_to_peer(requester, number, own_number, &choice);
             return;
         }
-        self.send_reply(asker, number, ReplyOutcome::Waits);
-        self.wait(own_number, ask, choice, ReplyTo::Peer { asker, number });
+        self.send_reply(requester, number, ReplyOutcome::Waits);
+        self.wait(own_number, ask, choice, ReplyTo::Peer { requester, number });
     }
 
     fn hand_on(&self, next: InstanceId, body: AskBody) {
@@ -280,28 +293,32 @@
     }
 
     /// The outcome that an ask had already: a reply was lost, or the ask came twice.
-    fn outcome_of_repeat(&self, asker: InstanceId, number: RequestNumber) -> Option<ReplyOutcome> {
+    fn outcome_of_repeat(
+        &self,
+        requester: InstanceId,
+        number: RequestNumber,
+    ) -> Option<ReplyOutcome> {
         let grants = self.dispatches.grants.borrow();
-        if let Some(grant) = grants.get(asker, number) {
-            let choice = Choice::Send(grant.placement);
+        if let Some(grant) = grants.get(requester, number) {
+            let choice = Decision::Send(grant.placement);
             return ReplyOutcome::new(&choice, &self.traffic.borrow().registry);
         }
         let is_this = |reply: &ReplyTo| {
-            matches!(reply, ReplyTo::Peer { asker: other, number: at }
-                if (*other, *at) == (asker, number))
+            matches!(reply, ReplyTo::Peer { requester: other, number: at }
+                if (*other, *at) == (requester, number))
         };
         let replies = self.dispatches.replies.borrow();
         replies.values().any(is_this).then_some(ReplyOutcome::Waits)
     }
 
-    fn owned_ask(&self, body: &AskBody) -> Option<OwnedAsk> {
+    fn owned_ask(&self, body: &AskBody) -> Option<OwnedPlacementRequest> {
         let catalog = self.catalog()?;
         let service = catalog.service_of_id(body.service)?;
         let engine = service.engine.as_ref();
         let traffic = self.traffic.borrow();
         let tried = body.tried.iter().filter_map(|life| traffic.registry.key_of_life(*life));
         let elapsed = Duration::from_millis(body.elapsed_ms.into());
-        Some(OwnedAsk {
+        Some(OwnedPlacementRequest {
             service: service.name.clone(),
             facts: body.facts(),
             team: body.team,
@@ -317,17 +334,17 @@
     }
 
     /// `note_asked` counts what a team asks.
-    pub(crate) fn note_asked(&self, ask: &OwnedAsk, now: Timestamp) {
+    pub(crate) fn note_asked(&self, ask: &OwnedPlacementRequest, now: Timestamp) {
         if let Some(team) = ask.team
             && ask.facts.is_generation()
         {
             let windows = &mut self.traffic.borrow_mut().windows;
-            windows.note_asked(team, ask.facts.pool_tokens(), now);
+            windows.record_request(team, ask.facts.pool_tokens(), now);
         }
     }
 
-    fn take_asker_life(&self, asker: InstanceId, incarnation: Incarnation) {
-        let ended = self.dispatches.grants.borrow_mut().asker_heard(asker, incarnation);
+    fn take_asker_life(&self, requester: InstanceId, incarnation: Incarnation) {
+        let ended = self.dispatches.grants.borrow_mut().update_incarnation(requester, incarnation);
         self.end_grants(&ended);
     }
 
@@ -343,27 +360,27 @@
     }
 
     /// `take_progress` takes in what became of granted requests.
-    pub(crate) fn take_progress(self: &Rc<Self>, asker: InstanceId, notes: &[Note]) {
+    pub(crate) fn take_progress(self: &Rc<Self>, requester: InstanceId, notes: &[Note]) {
         for note in notes {
             match note.event {
-                NoteEvent::Begun => self.take_begun(asker, note.number),
-                event => self.take_ended(asker, note.number, event),
+                NoteEvent::Begun => self.take_begun(requester, note.number),
+                event => self.take_ended(requester, note.number, event),
             }
         }
         self.note_change_of_load();
     }
 
-    fn take_begun(&self, asker: InstanceId, number: RequestNumber) {
+    fn take_begun(&self, requester: InstanceId, number: RequestNumber) {
         let grants = self.dispatches.grants.borrow();
-        let Some(grant) = grants.get(asker, number) else { return };
+        let Some(grant) = grants.get(requester, number) else { return };
         let key = grant.placement.upstream;
         self.traffic.borrow_mut().begun(key, grant.number, self.now());
         self.note_life(key);
     }
 
-    fn take_ended(self: &Rc<Self>, asker: InstanceId, number: RequestNumber, event: NoteEvent) {
-        let Some(grant) = self.dispatches.grants.borrow_mut().end(asker, number) else {
-            self.drop_waiting(asker, number);
+    fn take_ended(self: &Rc<Self>, requester: InstanceId, number: RequestNumber, event: NoteEvent) {
+        let Some(grant) = self.dispatches.grants.borrow_mut().end(requester, number) else {
+            self.drop_waiting(requester, number);
             return;
         };
         let now = self.now();
@@ -381,11 +398,11 @@
         }
     }
 
-    fn drop_waiting(&self, asker: InstanceId, number: RequestNumber) {
+    fn drop_waiting(&self, requester: InstanceId, number: RequestNumber) {
         let mut replies = self.dispatches.replies.borrow_mut();
         let is_this = |reply: &ReplyTo| {
-            matches!(reply, ReplyTo::Peer { asker: other, number: at }
-                if (*other, *at) == (asker, number))
+            matches!(reply, ReplyTo::Peer { requester: other, number: at }
+                if (*other, *at) == (requester, number))
         };
         let own_number = replies.iter().find(|(_, reply)| is_this(reply)).map(|(own, _)| *own);
         if let Some(own_number) = own_number {
@@ -395,10 +412,10 @@
     }
 
     /// `take_held` takes in which grants an asker has in hand.
-    pub(crate) fn take_held(&self, asker: InstanceId, held: &Held) {
+    pub(crate) fn take_held(&self, requester: InstanceId, held: &Held) {
         let now = self.now();
         let mut grants = self.dispatches.grants.borrow_mut();
-        held.numbers.iter().for_each(|number| grants.confirm(asker, *number, now));
+        held.numbers.iter().for_each(|number| grants.confirm(requester, *number, now));
         let mut traffic = self.traffic.borrow_mut();
         for (life, silence_ms) in &held.silences {
             let Some(key) = traffic.registry.key_of_life(*life) else { continue };
@@ -411,7 +428,7 @@
 
     /// `drop_lapsed_grants` frees places that nobody confirms any more.
     pub(crate) fn drop_lapsed_grants(&self) {
-        let lapsed = self.dispatches.grants.borrow_mut().lapsed(self.now());
+        let lapsed = self.dispatches.grants.borrow_mut().remove_lapsed(self.now());
         if !lapsed.is_empty() {
             log::info!("event=grants_lapsed count={}", lapsed.len());
         }
@@ -426,25 +443,25 @@
         let services = catalog.services.keys();
         let lines = services.map(|name| RoomLine {
             service: id_of_name(name),
-            room: traffic.room(name, ROOM_WAIT, now),
+            headroom: traffic.headroom(name, ROOM_WAIT, now),
         });
-        lines.filter(|line| line.room != Room::default()).collect()
+        lines.filter(|line| line.headroom != Headroom::default()).collect()
     }
 
     /// `rooms_heard` takes in the room at the upstreams of another domain.
     pub(crate) fn rooms_heard(&self, dispatcher: InstanceId, lines: &[RoomLine]) {
-        let rooms = lines.iter().map(|line| (line.service, line.room)).collect();
+        let rooms = lines.iter().map(|line| (line.service, line.headroom)).collect();
         self.dispatches.rooms.borrow_mut().insert(dispatcher, rooms);
     }
 
     /// The dispatcher of another domain that has room for a request that fits nowhere in this one.
-    pub(crate) fn take_room(&self, service: ServiceId, choice: &Choice) -> Option<InstanceId> {
+    pub(crate) fn take_room(&self, service: ServiceId, choice: &Decision) -> Option<InstanceId> {
         let is_within_share = match choice {
-            Choice::Full { standing, .. } => {
-                matches!(standing, Standing::WithinShare | Standing::Needy)
+            Decision::Full { share_class, .. } => {
+                matches!(share_class, ShareClass::WithinShare | ShareClass::Underserved)
             }
-            Choice::NoUpstream(_) => true,
-            Choice::Send(_) => return None,
+            Decision::NoUpstream(_) => true,
+            Decision::Send(_) => return None,
         };
         let now = self.now();
         let peers = self.peers.borrow();
@@ -452,9 +469,12 @@
         let mut rooms = self.dispatches.rooms.borrow_mut();
         let open = rooms.iter_mut().filter_map(|(instance, rooms)| {
             let peer = peers.get(instance).filter(|peer| peer.is_dispatching(now))?;
-            let room = rooms.get_mut(&service)?;
-            let count =
-                if is_within_share { &mut room.within_share } else { &mut room.beyond_share };
+            let headroom = rooms.get_mut(&service)?;
+            let count = if is_within_share {
+                &mut headroom.within_share
+            } else {
+                &mut headroom.beyond_share
+            };
             (0 < *count).then_some((near.contains(&peer.address.domain), *instance, count))
         });
         let (_, next, count) = open.max_by_key(|(is_near, _, count)| (*is_near, **count))?;
--- a/crates/bergamotpitch-gateway/src/gateways.rs
+++ b/crates/bergamotpitch-gateway/src/gateways.rs
@@ -11,7 +11,7 @@
 use bergamotpitch_control::traffic::concurrency_limits;
 use bergamotpitch_control::traffic::facts::RequestFacts;
 use bergamotpitch_control::traffic::registries::UpstreamKey;
-use bergamotpitch_control::traffic::team_windows::Standing;
+use bergamotpitch_control::traffic::team_windows::ShareClass;
 use bergamotpitch_core::HashMap;
 use bergamotpitch_core::events::EventKind;
 use bergamotpitch_core::ids::{InstanceId, id_of_name};
@@ -325,7 +325,7 @@
     pub fn note_asked_in_vain(&self, team: Option<&Team>, facts: &RequestFacts) {
         if let Some(team) = team.filter(|_| facts.is_generation()) {
             let windows = &mut self.traffic.borrow_mut().windows;
-            windows.note_asked(id_of_name(&team.name), facts.pool_tokens(), self.now());
+            windows.record_request(id_of_name(&team.name), facts.pool_tokens(), self.now());
         }
     }
 
@@ -341,20 +341,20 @@
         self.streams.note_wait(now.saturating_sub(began), now);
     }
 
-    /// `standing` tells how a request stands against its team's share, as far as this instance knows.
-    pub fn standing(
+    /// `share_class` tells how a request stands against its team's share, as far as this instance knows.
+    pub fn share_class(
         &self,
         catalog: &Catalog,
         team: Option<&Team>,
         facts: &RequestFacts,
-    ) -> Standing {
+    ) -> ShareClass {
         let Some(team) = team.filter(|_| facts.is_generation()) else {
-            return Standing::WithinShare;
+            return ShareClass::WithinShare;
         };
         let now = self.now();
         let windows = &mut self.traffic.borrow_mut().windows;
         let (team, tokens) = (id_of_name(&team.name), facts.pool_tokens());
-        windows.standing(team, tokens, catalog.pool_tokens_per_s, now)
+        windows.share_class(team, tokens, catalog.pool_tokens_per_s, now)
     }
 
     /// `is_ready` tells whether new callers should come here.
--- a/crates/bergamotpitch-gateway/src/messages.rs
+++ b/crates/bergamotpitch-gateway/src/messages.rs
@@ -7,12 +7,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bergamotpitch_control::traffic::admissions::{Choice, Placement, Room};
+use bergamotpitch_control::traffic::admissions::{Decision, Headroom, Placement};
 use bergamotpitch_control::traffic::catalogs::CatalogVersion;
 use bergamotpitch_control::traffic::engine_loads::{Figures, RequestNumber, Work};
 use bergamotpitch_control::traffic::facts::{PartId, PromptPart, RequestFacts};
 use bergamotpitch_control::traffic::registries::Registry;
-use bergamotpitch_control::traffic::team_windows::{Standing, TeamCounts};
+use bergamotpitch_control::traffic::team_windows::{ShareClass, TeamCounts};
 use bergamotpitch_core::ids::{Incarnation, InstanceId, ServiceId, TeamId, UpstreamId};
 use displaydoc::Display;
 use serde::{Deserialize, Serialize};
@@ -71,7 +71,7 @@
     /// Number of the latest change of its documents.
     pub relay_number: u64,
     /// Whether it can be the dispatcher of its domain.
-    pub is_able: bool,
+    pub is_eligible: bool,
     /// Whether it is.
     pub is_dispatcher: bool,
     /// For how long it has counted what its teams asked.
@@ -147,7 +147,7 @@
     /// The service.
     pub service: ServiceId,
     /// For how many more requests there is a place.
-    pub room: Room,
+    pub headroom: Headroom,
 }
 
 /// `AskBody` is a request that wants a place.
@@ -158,7 +158,7 @@
     /// Whether it is the first ask for this request; later ones are not counted again.
     pub is_first: bool,
     /// Who wants it, with its life, when another instance hands the ask on.
-    pub asker: Option<(InstanceId, Incarnation)>,
+    pub requester: Option<(InstanceId, Incarnation)>,
     /// Whether it may be handed on to the dispatcher of another domain.
     pub may_go_on: bool,
     /// Service that it is for.
@@ -216,7 +216,7 @@
         /// When it is worth asking again.
         after_ms: u32,
         /// How it stands against its team's share.
-        standing: Standing,
+        share_class: ShareClass,
         /// Requests at the upstream that has fewest.
         least_requests: u32,
     },
@@ -238,7 +238,7 @@
     delay_ms: u32,
     predicted_ms: u32,
     requests: u32,
-    standing: Standing,
+    share_class: ShareClass,
     fetch_from: Option<UpstreamId>,
 }
 
@@ -363,7 +363,7 @@
             delay_ms: placement.work.delay_ms as u32,
             predicted_ms: millis(placement.predicted),
             requests: placement.requests,
-            standing: placement.standing,
+            share_class: placement.share_class,
             fetch_from: placement.fetch_from.and_then(life_of),
         })
     }
@@ -384,7 +384,7 @@
             },
             predicted: Duration::from_millis(self.predicted_ms.into()),
             requests: self.requests,
-            standing: self.standing,
+            share_class: self.share_class,
             rank: None,
             fetch_from: self.fetch_from.and_then(|life| registry.key_of_life(life)),
         })
@@ -393,15 +393,15 @@
 
 impl ReplyOutcome {
     /// `new` tells of a choice; `None` when its upstream was forgotten meanwhile.
-    pub fn new(choice: &Choice, registry: &Registry) -> Option<Self> {
+    pub fn new(choice: &Decision, registry: &Registry) -> Option<Self> {
         Some(match choice {
-            Choice::Send(placement) => Self::Granted(GrantLine::new(placement, registry)?),
-            Choice::Full { after, standing, least_requests } => Self::Full {
+            Decision::Send(placement) => Self::Granted(GrantLine::new(placement, registry)?),
+            Decision::Full { retry_after: after, share_class, least_requests } => Self::Full {
                 after_ms: millis(*after),
-                standing: *standing,
+                share_class: *share_class,
                 least_requests: *least_requests,
             },
-            Choice::NoUpstream(after) => Self::NoUpstream { after_ms: millis(*after) },
+            Decision::NoUpstream(after) => Self::NoUpstream { after_ms: millis(*after) },
         })
     }
 }
--- a/crates/bergamotpitch-gateway/src/peers.rs
+++ b/crates/bergamotpitch-gateway/src/peers.rs
@@ -61,7 +61,7 @@
     pub watches: bool,
     /// Number of the latest change of its documents.
     pub relay_number: u64,
-    is_able: bool,
+    is_eligible: bool,
     is_dispatcher: bool,
     counted: Duration,
 }
@@ -79,7 +79,7 @@
             list_change: 0,
             watches: false,
             relay_number: 0,
-            is_able: true,
+            is_eligible: true,
             is_dispatcher: false,
             counted: Duration::ZERO,
         }
@@ -98,7 +98,7 @@
         self.list_change = beat.list_change;
         self.watches = beat.watches;
         self.relay_number = beat.relay_number;
-        self.is_able = beat.is_able;
+        self.is_eligible = beat.is_eligible;
         self.is_dispatcher = beat.is_dispatcher;
         self.counted = Duration::from_millis(beat.counted_ms);
     }
@@ -118,9 +118,9 @@
         Candidate {
             instance: self.address.instance,
             processor_millis: self.address.processor_millis,
-            heard: self.heard.unwrap_or(self.listed),
-            is_able: self.is_able,
-            is_settled: SETTLED_TIME <= self.counted,
+            last_seen: self.heard.unwrap_or(self.listed),
+            is_eligible: self.is_eligible,
+            is_warmed_up: SETTLED_TIME <= self.counted,
         }
     }
 }
--- a/crates/bergamotpitch-gateway/src/placements.rs
+++ b/crates/bergamotpitch-gateway/src/placements.rs
@@ -3,11 +3,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use bergamotpitch_control::traffic::admissions::{Choice, Placement, Scope};
+use bergamotpitch_control::traffic::admissions::{Decision, Placement, Scope};
 use bergamotpitch_control::traffic::engine_loads::RequestNumber;
+use bergamotpitch_control::traffic::placement_queues::OwnedPlacementRequest;
 use bergamotpitch_control::traffic::registries::UpstreamKey;
-use bergamotpitch_control::traffic::team_windows::Standing;
-use bergamotpitch_control::traffic::waiting_asks::OwnedAsk;
+use bergamotpitch_control::traffic::team_windows::ShareClass;
 use bergamotpitch_core::ids::id_of_name;
 use bergamotpitch_core::refusals::RefusalReason;
 use bergamotpitch_core::units::Timestamp;
@@ -30,7 +30,7 @@
     /// The place.
     pub placement: Placement,
     /// Who placed it, when it was not this instance.
-    pub granter: Option<Granter>,
+    pub grantor: Option<Granter>,
 }
 
 /// `place` finds an upstream for a call and takes the place there.
@@ -43,30 +43,30 @@
     call: &Call,
     tried: &[UpstreamKey],
 ) -> Result<Placed, Refusal> {
-    let (number, granter, choice) = decide(gateway, call, tried).await;
-    let granter_id = granter.map(|granter| granter.instance);
+    let (number, grantor, choice) = decide(gateway, call, tried).await;
+    let granter_id = grantor.map(|grantor| grantor.instance);
     let (reason, after, inputs) = match choice {
-        Choice::Send(placement) => return Ok(Placed { number, placement, granter }),
-        Choice::Full { after, standing, least_requests } => {
+        Decision::Send(placement) => return Ok(Placed { number, placement, grantor }),
+        Decision::Full { retry_after: after, share_class, least_requests } => {
             let inputs = Inputs {
-                standing: Some(standing),
+                share_class: Some(share_class),
                 least_requests: Some(least_requests),
-                granter: granter_id,
+                grantor: granter_id,
             };
-            (reason_of_standing(standing), after, inputs)
+            (reason_of_standing(share_class), after, inputs)
         }
-        Choice::NoUpstream(after) => {
-            let inputs = Inputs { granter: granter_id, ..Inputs::default() };
+        Decision::NoUpstream(after) => {
+            let inputs = Inputs { grantor: granter_id, ..Inputs::default() };
             (RefusalReason::NoUpstream, after, inputs)
         }
     };
     Err(Refusal::not_run(reason, spread(after, call.number)).decided_on(inputs))
 }
 
-fn reason_of_standing(standing: Standing) -> RefusalReason {
-    match standing {
-        Standing::WithinShare | Standing::Needy => RefusalReason::Overloaded,
-        Standing::EvenSurplus | Standing::BeyondEven => RefusalReason::QueueFull,
+fn reason_of_standing(share_class: ShareClass) -> RefusalReason {
+    match share_class {
+        ShareClass::WithinShare | ShareClass::Underserved => RefusalReason::Overloaded,
+        ShareClass::EvenSurplus | ShareClass::BeyondEven => RefusalReason::QueueFull,
     }
 }
 
@@ -74,16 +74,16 @@
     gateway: &Rc<Gateway>,
     call: &Call,
     tried: &[UpstreamKey],
-) -> (RequestNumber, Option<Granter>, Choice) {
+) -> (RequestNumber, Option<Granter>, Decision) {
     if let Some(dispatcher) = gateway.other_dispatcher() {
         for may_go_on in [true, false] {
             let number = gateway.fresh_number();
             let decided = asks::ask(gateway, dispatcher, call, tried, number, may_go_on).await;
-            let Some(Decided { granter, choice }) = decided else { break };
+            let Some(Decided { grantor, choice }) = decided else { break };
             // The dispatcher of another domain had less room than it told.
-            let is_final = matches!(choice, Choice::Send(_)) || granter.instance == dispatcher;
+            let is_final = matches!(choice, Decision::Send(_)) || grantor.instance == dispatcher;
             if is_final {
-                return (number, Some(granter), choice);
+                return (number, Some(grantor), choice);
             }
         }
     }
@@ -95,7 +95,7 @@
     gateway: &Rc<Gateway>,
     call: &Call,
     tried: &[UpstreamKey],
-) -> (RequestNumber, Option<Granter>, Choice) {
+) -> (RequestNumber, Option<Granter>, Decision) {
     let now = gateway.now();
     let ask = owned_ask(call, tried, gateway.scope());
     if tried.is_empty() {
@@ -103,7 +103,7 @@
     }
     let number = gateway.fresh_number();
     let choice = gateway.place_here(number, &ask);
-    if matches!(choice, Choice::Send(_)) {
+    if matches!(choice, Decision::Send(_)) {
         return (number, None, choice);
     }
     if gateway.is_dispatcher()
@@ -111,20 +111,20 @@
     {
         let number = gateway.fresh_number();
         let decided = asks::ask(gateway, next, call, tried, number, false).await;
-        if let Some(Decided { granter, choice: choice @ Choice::Send(_) }) = decided {
-            return (number, Some(granter), choice);
+        if let Some(Decided { grantor, choice: choice @ Decision::Send(_) }) = decided {
+            return (number, Some(grantor), choice);
         }
     }
     let ask = match choice {
-        Choice::NoUpstream(_) => OwnedAsk { scope: Scope::Fleet, ..ask },
+        Decision::NoUpstream(_) => OwnedPlacementRequest { scope: Scope::Fleet, ..ask },
         _ => ask,
     };
     let choice = gateway.decide(number, ask).await;
     (number, None, choice)
 }
 
-fn owned_ask(call: &Call, tried: &[UpstreamKey], scope: Scope) -> OwnedAsk {
-    OwnedAsk {
+fn owned_ask(call: &Call, tried: &[UpstreamKey], scope: Scope) -> OwnedPlacementRequest {
+    OwnedPlacementRequest {
         service: call.service.clone(),
         facts: call.facts.clone(),
         team: call.team.as_ref().map(|team| id_of_name(&team.name)),
@@ -144,7 +144,7 @@
 pub fn has_place(gateway: &Gateway, call: &Call, tried: &[UpstreamKey]) -> bool {
     let now = gateway.now();
     let ask = owned_ask(call, tried, gateway.scope());
-    matches!(gateway.traffic.borrow_mut().choose(&ask.at(now), now), Choice::Send(_))
+    matches!(gateway.traffic.borrow_mut().choose_upstream(&ask.as_of(now), now), Decision::Send(_))
 }
 
 fn spread(after: Duration, number: u64) -> Duration {
@@ -171,9 +171,9 @@
 impl Run {
     /// `open` follows a request that was placed.
     pub fn open(gateway: &Rc<Gateway>, placed: &Placed) -> Self {
-        let Placed { number, placement, granter } = *placed;
-        if let Some(granter) = granter {
-            gateway.hold_grant(number, granter, placement);
+        let Placed { number, placement, grantor } = *placed;
+        if let Some(grantor) = grantor {
+            gateway.hold_grant(number, grantor, placement);
         }
         Self {
             gateway: Rc::clone(gateway),
--- a/crates/bergamotpitch-gateway/src/refusals.rs
+++ b/crates/bergamotpitch-gateway/src/refusals.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use bergamotpitch_control::traffic::team_windows::Standing;
+use bergamotpitch_control::traffic::team_windows::ShareClass;
 use bergamotpitch_core::ids::InstanceId;
 use bergamotpitch_core::refusals::{Ran, RefusalReason};
 use bytes::Bytes;
@@ -33,23 +33,23 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Inputs {
     /// How the request stood against its team's share.
-    pub standing: Option<Standing>,
+    pub share_class: Option<ShareClass>,
     /// Requests at the upstream that had fewest.
     pub least_requests: Option<u32>,
     /// Instance that decided, when it was another one.
-    pub granter: Option<InstanceId>,
+    pub grantor: Option<InstanceId>,
 }
 
 impl fmt::Display for Inputs {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.standing {
-            Some(standing) => write!(formatter, "standing={standing}")?,
+        match self.share_class {
+            Some(share_class) => write!(formatter, "standing={share_class}")?,
             None => formatter.write_str("standing=-")?,
         }
         if let Some(requests) = self.least_requests {
             write!(formatter, " least_requests={requests}")?;
         }
-        write!(formatter, " granter={}", self.granter.unwrap_or_default())
+        write!(formatter, " granter={}", self.grantor.unwrap_or_default())
     }
 }
 
--- a/crates/bergamotpitch-gateway/src/served_streams.rs
+++ b/crates/bergamotpitch-gateway/src/served_streams.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bergamotpitch_control::traffic::concurrency_limits::{ConcurrencyLimit, Options};
-use bergamotpitch_control::traffic::team_windows::Standing;
+use bergamotpitch_control::traffic::team_windows::ShareClass;
 use bergamotpitch_core::ids::TeamId;
 use bergamotpitch_core::units::Timestamp;
 
@@ -24,7 +24,7 @@
 
 impl Drop for ServedStream {
     fn drop(&mut self) {
-        self.streams.0.borrow_mut().ended(self.team);
+        self.streams.0.borrow_mut().stream_ended(self.team);
     }
 }
 
@@ -36,7 +36,7 @@
 
     /// `open` counts one more stream of a team.
     pub fn open(&self, team: TeamId) -> ServedStream {
-        self.0.borrow_mut().began(team);
+        self.0.borrow_mut().stream_started(team);
         ServedStream { streams: self.clone(), team }
     }
 
@@ -46,13 +46,13 @@
     }
 
     /// `admits` tells whether there is time for one more request of a team.
-    pub fn admits(&self, team: TeamId, standing: Standing) -> bool {
-        self.0.borrow().admits(team, standing)
+    pub fn admits(&self, team: TeamId, share_class: ShareClass) -> bool {
+        self.0.borrow().admits(team, share_class)
     }
 
     /// `note_wait` takes in for how long a task waited for its turn.
     pub fn note_wait(&self, wait: Duration, now: Timestamp) {
-        self.0.borrow_mut().note_wait(wait, now);
+        self.0.borrow_mut().record_delay(wait, now);
     }
 }
 
--- a/crates/bergamotpitch-gateway/src/tallies.rs
+++ b/crates/bergamotpitch-gateway/src/tallies.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Default)]
 struct Tally {
     team: String,
-    asked_tokens: u64,
+    requested_tokens: u64,
     sent_tokens: u64,
     refused_tokens: BTreeMap<&'static str, u64>,
 }
@@ -50,7 +50,7 @@
 impl Tallies {
     /// `note_asked` counts a request that has come in.
     pub fn note_asked(&self, team: &Team, tokens: u64) {
-        self.change(team, |tally| tally.asked_tokens += tokens);
+        self.change(team, |tally| tally.requested_tokens += tokens);
     }
 
     /// `note_sent` counts a request that goes to an upstream for the first time.
@@ -83,7 +83,7 @@
     pub fn take(&self) -> Vec<String> {
         let tallies = std::mem::take(&mut *self.teams.borrow_mut());
         let mut tallies: Vec<Tally> = tallies.into_values().collect();
-        tallies.sort_by_key(|tally| Reverse(tally.asked_tokens));
+        tallies.sort_by_key(|tally| Reverse(tally.requested_tokens));
         tallies.truncate(TEAMS_A_TALLY);
         tallies.iter().map(Tally::to_string).collect()
     }
@@ -114,11 +114,11 @@
 
 impl fmt::Display for Tally {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { team, asked_tokens, sent_tokens, refused_tokens } = self;
+        let Self { team, requested_tokens, sent_tokens, refused_tokens } = self;
         let refused = self.all_refused();
         write!(
             formatter,
-            "team={team} asked_tokens={asked_tokens} sent_tokens={sent_tokens} refused_tokens={refused}"
+            "team={team} asked_tokens={requested_tokens} sent_tokens={sent_tokens} refused_tokens={refused}"
         )?;
         refused_tokens
             .iter()
@@ -147,19 +147,19 @@
 }
 
 fn write_waiting_teams(catalog: &Catalog, view: &SharesView) {
-    for WaitingTeam { team, counts, is_needy } in view.waiting.iter().take(WAITING_TEAMS) {
+    for WaitingTeam { team, counts, is_underserved } in view.waiting.iter().take(WAITING_TEAMS) {
         let known = catalog.teams().find(|known| id_of_name(&known.name) == *team);
         decision(
             EventKind::TeamWaits,
             format_args!(
                 "team={} asked_tokens={} begun_tokens={} recent_asked_tokens={} \
-                 recent_begun_tokens={} is_needy={is_needy} share_tokens={:.0} surplus_tokens={:.0} \
+                 recent_begun_tokens={} is_needy={is_underserved} share_tokens={:.0} surplus_tokens={:.0} \
                  sources={} oldest_ms={}",
                 known.map_or("-", |known| &known.name),
-                counts.window.asked_tokens,
-                counts.window.begun_tokens,
-                counts.recent.asked_tokens,
-                counts.recent.begun_tokens,
+                counts.window.requested_tokens,
+                counts.window.dispatched_tokens,
+                counts.recent.requested_tokens,
+                counts.recent.dispatched_tokens,
                 view.share_tokens,
                 view.surplus_tokens,
                 view.sources,
--- a/crates/bergamotpitch-gateway/src/upstreams.rs
+++ b/crates/bergamotpitch-gateway/src/upstreams.rs
@@ -28,7 +28,7 @@
         for change in &changes {
             self.log_change(&traffic, change);
         }
-        traffic.forget_gone();
+        traffic.remove_gone_upstreams();
         drop(traffic);
         self.note_change_of_load();
     }
--- a/crates/bergamotpitch-gateway/tests/dispatched_requests.rs
+++ b/crates/bergamotpitch-gateway/tests/dispatched_requests.rs
@@ -6,9 +6,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use bergamotpitch_control::traffic::admissions::{Choice, Placement};
+use bergamotpitch_control::traffic::admissions::{Decision, Placement};
 use bergamotpitch_control::traffic::engine_loads::{RequestNumber, Work};
-use bergamotpitch_control::traffic::team_windows::Standing;
+use bergamotpitch_control::traffic::team_windows::ShareClass;
 use bergamotpitch_core::ids::InstanceId;
 use bergamotpitch_gateway::Gateway;
 use bergamotpitch_gateway::messages::{
@@ -93,15 +93,15 @@
         work: Work::default(),
         predicted: Duration::from_millis(20),
         requests: 0,
-        standing: Standing::WithinShare,
+        share_class: ShareClass::WithinShare,
         rank: None,
         fetch_from: None,
     };
-    ReplyOutcome::new(&Choice::Send(placement), registry).unwrap()
+    ReplyOutcome::new(&Decision::Send(placement), registry).unwrap()
 }
 
 const FULL: ReplyOutcome =
-    ReplyOutcome::Full { after_ms: 70, standing: Standing::EvenSurplus, least_requests: 9 };
+    ReplyOutcome::Full { after_ms: 70, share_class: ShareClass::EvenSurplus, least_requests: 9 };
 
 /// Guards against deciders that take a team for one that asks twice as much, as its requests are asked
 /// for again after another domain had less room than it told.
--- a/crates/bergamotpitch-gateway/tests/late_instances.rs
+++ b/crates/bergamotpitch-gateway/tests/late_instances.rs
@@ -67,7 +67,7 @@
         assert_eq!((refused.status, upstream.count()), (503, 1));
         assert!(refused.body.contains("instance_busy"), "{}", refused.body);
         let sums = gateway.traffic.borrow_mut().windows.own_sums(gateway.now());
-        assert_eq!(sums[0].1.window, TeamSums { asked_tokens: 20, begun_tokens: 10 });
+        assert_eq!(sums[0].1.window, TeamSums { requested_tokens: 20, dispatched_tokens: 10 });
         let after_s: f64 = refused.headers["retry-after"].to_str().unwrap().parse().unwrap();
         assert!(after_s < 0.1, "streams end all the time");
         let call = ask(address, request("GET", "/safe/", "c")).await.unwrap();
