--- a/crates/bergamotpitch-gateway/src/dispatchers.rs
+++ b/crates/bergamotpitch-gateway/src/dispatchers.rs
@@ -5,12 +5,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use bergamotpitch_control::traffic::admissions::{Choice, Room, Scope};
+use bergamotpitch_control::traffic::admissions::{Decision, Headroom, Scope};
 use bergamotpitch_control::traffic::dispatchers::{Candidate, Role, role_of};
 use bergamotpitch_control::traffic::engine_loads::RequestNumber;
 use bergamotpitch_control::traffic::grants::{Grant, Grants};
-use bergamotpitch_control::traffic::team_windows::Standing;
-use bergamotpitch_control::traffic::waiting_asks::{OwnedAsk, WaitingAsks, place};
+use bergamotpitch_control::traffic::placement_queues::{
+    OwnedPlacementRequest, PlacementQueue, place,
+};
+use bergamotpitch_control::traffic::team_windows::ShareClass;
 use bergamotpitch_core::HashMap;
 use bergamotpitch_core::events::EventKind;
 use bergamotpitch_core::ids::{Incarnation, InstanceId, ServiceId, id_of_name};
@@ -36,11 +38,11 @@
 /// `LocalPlacements` are the requests on which this instance decides, its own and others'.
 #[derive(Debug, Default)]
 pub struct LocalPlacements {
-    waiting: RefCell<WaitingAsks>,
+    waiting: RefCell<PlacementQueue>,
     grants: RefCell<Grants>,
     replies: RefCell<HashMap<RequestNumber, ReplyTarget>>,
     /// What the dispatchers of other domains told of their room, less what was handed on since.
-    headrooms: RefCell<HashMap<InstanceId, HashMap<ServiceId, Room>>>,
+    headrooms: RefCell<HashMap<InstanceId, HashMap<ServiceId, Headroom>>>,
     load_changed: Cell<bool>,
     is_retrying: Cell<bool>,
     role: Cell<Role>,
@@ -48,7 +50,7 @@
 
 #[derive(Debug)]
 enum ReplyTarget {
-    Own(oneshot::Sender<Choice>),
+    Own(oneshot::Sender<Decision>),
     Peer { requester: InstanceId, number: RequestNumber },
 }
 
@@ -57,7 +59,7 @@
 struct QueuedRequest<'a> {
     gateway: &'a Rc<Gateway>,
     number: RequestNumber,
-    decision: oneshot::Receiver<Choice>,
+    decision: oneshot::Receiver<Decision>,
 }
 
 impl Drop for QueuedRequest<'_> {
@@ -65,7 +67,7 @@
         let local_placements = &self.gateway.local_placements;
         local_placements.replies.borrow_mut().remove(&self.number);
         local_placements.waiting.borrow_mut().remove(self.number);
-        if let Ok(Choice::Send(placement)) = self.decision.try_recv() {
+        if let Ok(Decision::Send(placement)) = self.decision.try_recv() {
             self.gateway.traffic.borrow_mut().load(placement.upstream).ended(self.number);
         }
     }
@@ -99,9 +101,9 @@
         let own = Candidate {
             instance: self.options.instance,
             processor_millis: self.options.processor_millis,
-            heard: now,
-            is_able: self.is_able(),
-            is_settled: WARM_UP_TIME <= now,
+            last_seen: now,
+            is_eligible: self.is_eligible(),
+            is_warmed_up: WARM_UP_TIME <= now,
         };
         let domain = &self.options.admission.domain;
         let peers = self.peers.borrow();
@@ -133,21 +135,29 @@
         }
     }
 
-    /// `is_able` tells whether this instance can be the dispatcher of its domain.
-    pub(crate) fn is_able(&self) -> bool {
+    /// `is_eligible` tells whether this instance can be the dispatcher of its domain.
+    pub(crate) fn is_eligible(&self) -> bool {
         self.knows_all() && !self.is_draining() && self.loop_lag.keeps_up()
     }
 
     /// `place_locally` decides on a request of this instance by its own books.
-    pub(crate) fn place_locally(&self, number: RequestNumber, ask: &OwnedAsk) -> Choice {
+    pub(crate) fn place_locally(
+        &self,
+        number: RequestNumber,
+        ask: &OwnedPlacementRequest,
+    ) -> Decision {
         place(number, ask, &mut self.traffic.borrow_mut(), self.now())
     }
 
     /// `decide` does so, and lets the request wait for a place for as long as it may.
-    pub(crate) async fn decide(self: &Rc<Self>, number: RequestNumber, ask: OwnedAsk) -> Choice {
+    pub(crate) async fn decide(
+        self: &Rc<Self>,
+        number: RequestNumber,
+        ask: OwnedPlacementRequest,
+    ) -> Decision {
         let now = self.now();
         let decision = self.place_locally(number, &ask);
-        if matches!(decision, Choice::Send(_)) || ask.hold_until(&decision) <= now {
+        if matches!(decision, Decision::Send(_)) || ask.wait_deadline(&decision) <= now {
             return decision;
         }
         let (sender, receiver) = oneshot::channel();
@@ -160,13 +170,13 @@
     fn enqueue(
         self: &Rc<Self>,
         number: RequestNumber,
-        ask: OwnedAsk,
-        decision: Choice,
+        ask: OwnedPlacementRequest,
+        decision: Decision,
         reply_to: ReplyTarget,
     ) {
         let now = self.now();
         self.local_placements.replies.borrow_mut().insert(number, reply_to);
-        self.local_placements.waiting.borrow_mut().wait(number, ask, decision, now);
+        self.local_placements.waiting.borrow_mut().enqueue(number, ask, decision, now);
         if !self.local_placements.is_retrying.replace(true) {
             tokio::task::spawn_local(retry_waiting_placements(Rc::clone(self)));
         }
@@ -190,7 +200,7 @@
         let mut waiting = self.local_placements.waiting.borrow_mut();
         let mut decided = waiting.expire(&mut traffic, now);
         if self.local_placements.load_changed.replace(false) {
-            decided.extend(waiting.look(&mut traffic, now));
+            decided.extend(waiting.retry_placements(&mut traffic, now));
         }
         drop((traffic, waiting));
         for (number, decision) in decided {
@@ -198,7 +208,7 @@
         }
     }
 
-    fn reply(self: &Rc<Self>, own_number: RequestNumber, decision: Choice) {
+    fn reply(self: &Rc<Self>, own_number: RequestNumber, decision: Decision) {
         match self.local_placements.replies.borrow_mut().remove(&own_number) {
             Some(ReplyTarget::Own(sender)) => {
                 // The receiver frees the place when it is dropped, and none is left without one.
@@ -216,14 +226,14 @@
         requester: InstanceId,
         number: RequestNumber,
         own_number: RequestNumber,
-        decision: &Choice,
+        decision: &Decision,
     ) {
-        if let Choice::Send(placement) = decision {
+        if let Decision::Send(placement) = decision {
             let now = self.now();
             self.local_placements
                 .grants
                 .borrow_mut()
-                .note(requester, number, own_number, *placement, now);
+                .insert(requester, number, own_number, *placement, now);
         }
         let outcome = ReplyOutcome::new(decision, &self.traffic.borrow().registry);
         self.send_reply(requester, number, outcome.unwrap_or(ReplyOutcome::Declined));
@@ -259,7 +269,7 @@
         }
         let own_number = self.fresh_number();
         let decision = place(own_number, &ask, &mut self.traffic.borrow_mut(), now);
-        if matches!(decision, Choice::Send(_)) {
+        if matches!(decision, Decision::Send(_)) {
             self.reply_to_peer(requester, number, own_number, &decision);
             return;
         }
@@ -271,7 +281,7 @@
             self.forward(next, PlacementRequestBody { requester, may_forward: false, ..body });
             return;
         }
-        if ask.hold_until(&decision) <= now {
+        if ask.wait_deadline(&decision) <= now {
             self.reply_to_peer(requester, number, own_number, &decision);
             return;
         }
@@ -293,7 +303,7 @@
     ) -> Option<ReplyOutcome> {
         let grants = self.local_placements.grants.borrow();
         if let Some(grant) = grants.get(requester, number) {
-            let decision = Choice::Send(grant.placement);
+            let decision = Decision::Send(grant.placement);
             return ReplyOutcome::new(&decision, &self.traffic.borrow().registry);
         }
         let is_this = |reply: &ReplyTarget| {
@@ -304,14 +314,17 @@
         replies.values().any(is_this).then_some(ReplyOutcome::Waits)
     }
 
-    fn owned_placement_request(&self, body: &PlacementRequestBody) -> Option<OwnedAsk> {
+    fn owned_placement_request(
+        &self,
+        body: &PlacementRequestBody,
+    ) -> Option<OwnedPlacementRequest> {
         let catalog = self.catalog()?;
         let service = catalog.service_of_id(body.service)?;
         let engine = service.engine.as_ref();
         let traffic = self.traffic.borrow();
         let tried = body.tried.iter().filter_map(|life| traffic.registry.key_of_life(*life));
         let elapsed = Duration::from_millis(body.elapsed_ms.into());
-        Some(OwnedAsk {
+        Some(OwnedPlacementRequest {
             service: service.name.clone(),
             facts: body.facts(),
             team: body.team,
@@ -327,17 +340,18 @@
     }
 
     /// `note_asked` counts what a team asks.
-    pub(crate) fn note_asked(&self, ask: &OwnedAsk, now: Timestamp) {
+    pub(crate) fn note_asked(&self, ask: &OwnedPlacementRequest, now: Timestamp) {
         if let Some(team) = ask.team
             && ask.facts.is_generation()
         {
             let windows = &mut self.traffic.borrow_mut().windows;
-            windows.note_asked(team, ask.facts.pool_tokens(), now);
+            windows.record_request(team, ask.facts.pool_tokens(), now);
         }
     }
 
     fn update_requester_incarnation(&self, requester: InstanceId, incarnation: Incarnation) {
-        let ended = self.local_placements.grants.borrow_mut().asker_heard(requester, incarnation);
+        let ended =
+            self.local_placements.grants.borrow_mut().update_incarnation(requester, incarnation);
         self.end_grants(&ended);
     }
 
@@ -434,7 +448,7 @@
 
     /// `drop_lapsed_grants` frees places that nobody confirms any more.
     pub(crate) fn drop_lapsed_grants(&self) {
-        let lapsed = self.local_placements.grants.borrow_mut().lapsed(self.now());
+        let lapsed = self.local_placements.grants.borrow_mut().remove_lapsed(self.now());
         if !lapsed.is_empty() {
             log::info!("event=grants_lapsed count={}", lapsed.len());
         }
@@ -449,9 +463,9 @@
         let services = catalog.services.keys();
         let lines = services.map(|name| HeadroomLine {
             service: id_of_name(name),
-            headroom: traffic.room(name, HEADROOM_WAIT_LIMIT, now),
+            headroom: traffic.headroom(name, HEADROOM_WAIT_LIMIT, now),
         });
-        lines.filter(|line| line.headroom != Room::default()).collect()
+        lines.filter(|line| line.headroom != Headroom::default()).collect()
     }
 
     /// `update_remote_headrooms` takes in the room at the upstreams of another domain.
@@ -464,14 +478,14 @@
     pub(crate) fn reserve_remote_headroom(
         &self,
         service: ServiceId,
-        decision: &Choice,
+        decision: &Decision,
     ) -> Option<InstanceId> {
         let is_within_share = match decision {
-            Choice::Full { standing, .. } => {
-                matches!(standing, Standing::WithinShare | Standing::Needy)
+            Decision::Full { share_class, .. } => {
+                matches!(share_class, ShareClass::WithinShare | ShareClass::Underserved)
             }
-            Choice::NoUpstream(_) => true,
-            Choice::Send(_) => return None,
+            Decision::NoUpstream(_) => true,
+            Decision::Send(_) => return None,
         };
         let now = self.now();
         let peers = self.peers.borrow();
--- a/crates/bergamotpitch-gateway/src/heartbeats.rs
+++ b/crates/bergamotpitch-gateway/src/heartbeats.rs
@@ -165,10 +165,10 @@
     let peers = gateway.peers.borrow();
     let mut own: Vec<&Peer> =
         peers.values().filter(|peer| peer.address.domain == *domain).collect();
-    let silence = gateway.options.dispatchers.silence;
+    let heartbeat_timeout = gateway.options.dispatchers.heartbeat_timeout;
     own.sort_by_key(|peer| {
         let candidate = peer.candidate();
-        (candidate.heard + silence <= now, candidate.order())
+        (candidate.last_seen + heartbeat_timeout <= now, candidate.order())
     });
     let standbys = own.into_iter().take(gateway.options.dispatchers.standbys);
     standbys.map(|peer| peer.address.clone()).collect()
@@ -201,7 +201,7 @@
         list_change: gateway.list_change(),
         watches: !gateway.relies_on_peers(),
         relay_number: gateway.store_updates.relay.borrow().last_number(),
-        is_able: gateway.is_able(),
+        is_eligible: gateway.is_eligible(),
         is_dispatcher: gateway.is_dispatcher(),
         counted_ms: u64::try_from(gateway.now().as_millis()).unwrap_or(u64::MAX),
         leaving: leaving.map(|upstream| upstream.life_number).collect(),
@@ -295,7 +295,7 @@
     is_included: impl Fn(InstanceId) -> bool,
 ) -> Vec<TeamLine> {
     let now = gateway.now();
-    let sums = gateway.traffic.borrow_mut().windows.sums_with(with_own, is_included, now);
+    let sums = gateway.traffic.borrow_mut().windows.combined_sums(with_own, is_included, now);
     sums.into_iter().collect()
 }
 
@@ -444,9 +444,9 @@
     gateway.update_prefixes(&heartbeat.prefixes, now);
     let counted = Duration::from_millis(heartbeat.counted_ms);
     let mut traffic = gateway.traffic.borrow_mut();
-    traffic.windows.peer_told(instance, heartbeat.teams.iter().copied(), counted, now);
+    traffic.windows.set_peer_counts(instance, heartbeat.teams.iter().copied(), counted, now);
     if heartbeat.is_dispatcher && gateway.is_of_own_domain(instance) {
-        traffic.windows.elsewhere_heard(heartbeat.remote_teams.iter().copied(), counted, now);
+        traffic.windows.set_remote_domains(heartbeat.remote_teams.iter().copied(), counted, now);
     }
     drop(traffic);
     if heartbeat.is_dispatcher && !gateway.is_of_own_domain(instance) {
@@ -460,7 +460,7 @@
     fn update_remote_dispatcher(&self, dispatcher: InstanceId, heartbeat: &Heartbeat) {
         self.update_remote_headrooms(dispatcher, &heartbeat.headrooms);
         let mut traffic = self.traffic.borrow_mut();
-        traffic.windows.forget_elsewhere();
+        traffic.windows.clear_remote_domains();
         let peers = self.peers.borrow();
         let Some(domain) = peers.get(&dispatcher).map(|peer| &peer.address.domain) else { return };
         let others = peers.values().filter(|peer| peer.address.domain == *domain);
--- a/crates/bergamotpitch-gateway/src/peers.rs
+++ b/crates/bergamotpitch-gateway/src/peers.rs
@@ -61,7 +61,7 @@
     pub watches: bool,
     /// Number of the latest change of its documents.
     pub relay_number: u64,
-    is_able: bool,
+    is_eligible: bool,
     is_dispatcher: bool,
     counted: Duration,
 }
@@ -79,7 +79,7 @@
             list_change: 0,
             watches: false,
             relay_number: 0,
-            is_able: true,
+            is_eligible: true,
             is_dispatcher: false,
             counted: Duration::ZERO,
         }
@@ -103,7 +103,7 @@
         self.list_change = heartbeat.list_change;
         self.watches = heartbeat.watches;
         self.relay_number = heartbeat.relay_number;
-        self.is_able = heartbeat.is_able;
+        self.is_eligible = heartbeat.is_eligible;
         self.is_dispatcher = heartbeat.is_dispatcher;
         self.counted = Duration::from_millis(heartbeat.counted_ms);
     }
@@ -124,9 +124,9 @@
         Candidate {
             instance: self.address.instance,
             processor_millis: self.address.processor_millis,
-            heard: self.last_seen.unwrap_or(self.listed),
-            is_able: self.is_able,
-            is_settled: WARM_UP_TIME <= self.counted,
+            last_seen: self.last_seen.unwrap_or(self.listed),
+            is_eligible: self.is_eligible,
+            is_warmed_up: WARM_UP_TIME <= self.counted,
         }
     }
 }
--- a/crates/bergamotpitch-gateway/src/placements.rs
+++ b/crates/bergamotpitch-gateway/src/placements.rs
@@ -3,11 +3,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use bergamotpitch_control::traffic::admissions::{Choice, Placement, Scope};
+use bergamotpitch_control::traffic::admissions::{Decision, Placement, Scope};
 use bergamotpitch_control::traffic::engine_loads::RequestNumber;
+use bergamotpitch_control::traffic::placement_queues::OwnedPlacementRequest;
 use bergamotpitch_control::traffic::registries::UpstreamKey;
-use bergamotpitch_control::traffic::team_windows::Standing;
-use bergamotpitch_control::traffic::waiting_asks::OwnedAsk;
+use bergamotpitch_control::traffic::team_windows::ShareClass;
 use bergamotpitch_core::ids::id_of_name;
 use bergamotpitch_core::refusals::RefusalReason;
 use bergamotpitch_core::units::Timestamp;
@@ -46,16 +46,16 @@
     let (number, grantor, decision) = decide(gateway, call, tried).await;
     let grantor_id = grantor.map(|grantor| grantor.instance);
     let (reason, after, inputs) = match decision {
-        Choice::Send(placement) => return Ok(PlacedRequest { number, placement, grantor }),
-        Choice::Full { after, standing, least_requests } => {
+        Decision::Send(placement) => return Ok(PlacedRequest { number, placement, grantor }),
+        Decision::Full { retry_after: after, share_class, least_requests } => {
             let inputs = Inputs {
-                standing: Some(standing),
+                share_class: Some(share_class),
                 least_requests: Some(least_requests),
                 grantor: grantor_id,
             };
-            (refusal_reason(standing), after, inputs)
+            (refusal_reason(share_class), after, inputs)
         }
-        Choice::NoUpstream(after) => {
+        Decision::NoUpstream(after) => {
             let inputs = Inputs { grantor: grantor_id, ..Inputs::default() };
             (RefusalReason::NoUpstream, after, inputs)
         }
@@ -63,10 +63,10 @@
     Err(Refusal::not_run(reason, with_jitter(after, call.number)).decided_on(inputs))
 }
 
-fn refusal_reason(standing: Standing) -> RefusalReason {
-    match standing {
-        Standing::WithinShare | Standing::Needy => RefusalReason::Overloaded,
-        Standing::EvenSurplus | Standing::BeyondEven => RefusalReason::QueueFull,
+fn refusal_reason(share_class: ShareClass) -> RefusalReason {
+    match share_class {
+        ShareClass::WithinShare | ShareClass::Underserved => RefusalReason::Overloaded,
+        ShareClass::EvenSurplus | ShareClass::BeyondEven => RefusalReason::QueueFull,
     }
 }
 
@@ -74,7 +74,7 @@
     gateway: &Rc<Gateway>,
     call: &Call,
     tried: &[UpstreamKey],
-) -> (RequestNumber, Option<Grantor>, Choice) {
+) -> (RequestNumber, Option<Grantor>, Decision) {
     if let Some(dispatcher) = gateway.other_dispatcher() {
         for may_forward in [true, false] {
             let number = gateway.fresh_number();
@@ -89,7 +89,7 @@
             .await;
             let Some(RemoteDecision { grantor, decision }) = decided else { break };
             // The dispatcher of another domain had less room than it told.
-            let is_final = matches!(decision, Choice::Send(_)) || grantor.instance == dispatcher;
+            let is_final = matches!(decision, Decision::Send(_)) || grantor.instance == dispatcher;
             if is_final {
                 return (number, Some(grantor), decision);
             }
@@ -103,7 +103,7 @@
     gateway: &Rc<Gateway>,
     call: &Call,
     tried: &[UpstreamKey],
-) -> (RequestNumber, Option<Grantor>, Choice) {
+) -> (RequestNumber, Option<Grantor>, Decision) {
     let now = gateway.now();
     let ask = owned_placement_request(call, tried, gateway.scope());
     if tried.is_empty() {
@@ -111,7 +111,7 @@
     }
     let number = gateway.fresh_number();
     let decision = gateway.place_locally(number, &ask);
-    if matches!(decision, Choice::Send(_)) {
+    if matches!(decision, Decision::Send(_)) {
         return (number, None, decision);
     }
     if gateway.is_dispatcher()
@@ -120,20 +120,24 @@
         let number = gateway.fresh_number();
         let decided =
             remote_placements::request_placement(gateway, next, call, tried, number, false).await;
-        if let Some(RemoteDecision { grantor, decision: decision @ Choice::Send(_) }) = decided {
+        if let Some(RemoteDecision { grantor, decision: decision @ Decision::Send(_) }) = decided {
             return (number, Some(grantor), decision);
         }
     }
     let ask = match decision {
-        Choice::NoUpstream(_) => OwnedAsk { scope: Scope::Fleet, ..ask },
+        Decision::NoUpstream(_) => OwnedPlacementRequest { scope: Scope::Fleet, ..ask },
         _ => ask,
     };
     let decision = gateway.decide(number, ask).await;
     (number, None, decision)
 }
 
-fn owned_placement_request(call: &Call, tried: &[UpstreamKey], scope: Scope) -> OwnedAsk {
-    OwnedAsk {
+fn owned_placement_request(
+    call: &Call,
+    tried: &[UpstreamKey],
+    scope: Scope,
+) -> OwnedPlacementRequest {
+    OwnedPlacementRequest {
         service: call.service.clone(),
         facts: call.facts.clone(),
         team: call.team.as_ref().map(|team| id_of_name(&team.name)),
@@ -153,7 +157,7 @@
 pub fn has_place(gateway: &Gateway, call: &Call, tried: &[UpstreamKey]) -> bool {
     let now = gateway.now();
     let ask = owned_placement_request(call, tried, gateway.scope());
-    matches!(gateway.traffic.borrow_mut().choose(&ask.at(now), now), Choice::Send(_))
+    matches!(gateway.traffic.borrow_mut().choose_upstream(&ask.as_of(now), now), Decision::Send(_))
 }
 
 fn with_jitter(after: Duration, number: u64) -> Duration {
--- a/crates/bergamotpitch-gateway/src/remote_placements.rs
+++ b/crates/bergamotpitch-gateway/src/remote_placements.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use bergamotpitch_control::traffic::admissions::{Choice, Placement};
+use bergamotpitch_control::traffic::admissions::{Decision, Placement};
 use bergamotpitch_control::traffic::engine_loads::{Figures, RequestNumber};
 use bergamotpitch_control::traffic::grants::{CONFIRM_INTERVAL, HeldGrant, HeldGrants};
 use bergamotpitch_control::traffic::registries::UpstreamKey;
@@ -79,7 +79,7 @@
     /// Who decided.
     pub grantor: Grantor,
     /// The decision.
-    pub decision: Choice,
+    pub decision: Decision,
 }
 
 /// `PendingPlacement` forgets an ask when it is dropped. Where nobody took up its reply, the dispatcher is
@@ -207,19 +207,19 @@
     }
 
     /// The decision as this instance can follow it; `None` when it knows better.
-    fn decision_of_reply(&self, outcome: &ReplyOutcome) -> Option<Choice> {
+    fn decision_of_reply(&self, outcome: &ReplyOutcome) -> Option<Decision> {
         let after = |after_ms: u32| Duration::from_millis(after_ms.into());
         match outcome {
             ReplyOutcome::Granted(line) => {
                 let placement = line.placement(&self.traffic.borrow().registry)?;
-                Some(Choice::Send(placement))
+                Some(Decision::Send(placement))
             }
-            ReplyOutcome::Full { after_ms, standing, least_requests } => Some(Choice::Full {
-                after: after(*after_ms),
-                standing: *standing,
+            ReplyOutcome::Full { after_ms, share_class, least_requests } => Some(Decision::Full {
+                retry_after: after(*after_ms),
+                share_class: *share_class,
                 least_requests: *least_requests,
             }),
-            ReplyOutcome::NoUpstream { after_ms } => Some(Choice::NoUpstream(after(*after_ms))),
+            ReplyOutcome::NoUpstream { after_ms } => Some(Decision::NoUpstream(after(*after_ms))),
             ReplyOutcome::Waits | ReplyOutcome::Declined => None,
         }
     }
@@ -253,8 +253,8 @@
 
     /// `hold_grant` takes in that a granted request is sent.
     pub(crate) fn hold_grant(&self, number: RequestNumber, grantor: Grantor, placement: Placement) {
-        let Grantor { instance: grantor, incarnation: granter_life } = grantor;
-        let grant = HeldGrant { granter: grantor, granter_life, placement, has_begun: false };
+        let Grantor { instance: grantor, incarnation: grantor_incarnation } = grantor;
+        let grant = HeldGrant { grantor, grantor_incarnation, placement, has_begun: false };
         self.remote_placements.held.borrow_mut().insert(number, grant);
     }
 
@@ -263,7 +263,7 @@
         let grantor = match self.remote_placements.held.borrow_mut().get_mut(&number) {
             Some(grant) => {
                 grant.has_begun = true;
-                grant.granter
+                grant.grantor
             }
             None => return false,
         };
@@ -279,7 +279,7 @@
     ) -> bool {
         let ended = self.remote_placements.held.borrow_mut().remove(&number);
         let Some(grant) = ended else { return false };
-        self.report_to_grantor(grant.granter, number, event);
+        self.report_to_grantor(grant.grantor, number, event);
         true
     }
 
@@ -329,13 +329,15 @@
         let mut confirmations: HashMap<InstanceId, GrantConfirmation> = HashMap::default();
         let traffic = self.traffic.borrow();
         for (number, grant) in &*remote_placements.held.borrow() {
-            let confirmation = confirmations.entry(grant.granter).or_default();
+            let confirmation = confirmations.entry(grant.grantor).or_default();
             confirmation.numbers.push(*number);
             let key = grant.placement.upstream;
             let Some(upstream) = traffic.registry.get(key) else { continue };
             let life = upstream.life_number;
             if confirmation.last_byte_ages_ms.iter().all(|(known, _)| *known != life) {
-                confirmation.last_byte_ages_ms.push((life, millis(traffic.silence(key, now))));
+                confirmation
+                    .last_byte_ages_ms
+                    .push((life, millis(traffic.time_since_last_byte(key, now))));
             }
         }
         for (grantor, confirmation) in confirmations {
@@ -359,9 +361,9 @@
         let traffic = self.traffic.borrow();
         let mut figures: HashMap<UpstreamId, Figures> = HashMap::default();
         for grant in self.remote_placements.held.borrow().values() {
-            let HeldGrant { granter: grantor, granter_life, placement, has_begun } = *grant;
+            let HeldGrant { grantor, grantor_incarnation, placement, has_begun } = *grant;
             let Some(upstream) = traffic.registry.get(placement.upstream) else { continue };
-            if is_left_out(Grantor { instance: grantor, incarnation: granter_life }) {
+            if is_left_out(Grantor { instance: grantor, incarnation: grantor_incarnation }) {
                 continue;
             }
             let unread_tokens = if has_begun { 0.0 } else { placement.work.unread_tokens };
--- a/crates/bergamotpitch-gateway/src/team_counters.rs
+++ b/crates/bergamotpitch-gateway/src/team_counters.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Default)]
 struct Counters {
     team: String,
-    asked_tokens: u64,
+    requested_tokens: u64,
     sent_tokens: u64,
     refused_tokens: BTreeMap<&'static str, u64>,
 }
@@ -50,7 +50,7 @@
 impl TeamCounters {
     /// `note_asked` counts a request that has come in.
     pub fn note_asked(&self, team: &Team, tokens: u64) {
-        self.change(team, |counters| counters.asked_tokens += tokens);
+        self.change(team, |counters| counters.requested_tokens += tokens);
     }
 
     /// `note_sent` counts a request that goes to an upstream for the first time.
@@ -83,7 +83,7 @@
     pub fn take(&self) -> Vec<String> {
         let team_counters = std::mem::take(&mut *self.teams.borrow_mut());
         let mut team_counters: Vec<Counters> = team_counters.into_values().collect();
-        team_counters.sort_by_key(|counters| Reverse(counters.asked_tokens));
+        team_counters.sort_by_key(|counters| Reverse(counters.requested_tokens));
         team_counters.truncate(LOGGED_TEAMS_MAX);
         team_counters.iter().map(Counters::to_string).collect()
     }
@@ -114,11 +114,11 @@
 
 impl fmt::Display for Counters {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { team, asked_tokens, sent_tokens, refused_tokens } = self;
+        let Self { team, requested_tokens, sent_tokens, refused_tokens } = self;
         let refused = self.refused_total();
         write!(
             formatter,
-            "team={team} asked_tokens={asked_tokens} sent_tokens={sent_tokens} refused_tokens={refused}"
+            "team={team} asked_tokens={requested_tokens} sent_tokens={sent_tokens} refused_tokens={refused}"
         )?;
         refused_tokens
             .iter()
@@ -147,20 +147,21 @@
 }
 
 fn log_waiting_teams(catalog: &Catalog, view: &SharesView) {
-    for WaitingTeam { team, counts, is_needy } in view.waiting.iter().take(LOGGED_WAITING_TEAMS_MAX)
+    for WaitingTeam { team, counts, is_underserved } in
+        view.waiting.iter().take(LOGGED_WAITING_TEAMS_MAX)
     {
         let known = catalog.teams().find(|known| id_of_name(&known.name) == *team);
         decision(
             EventKind::TeamWaits,
             format_args!(
                 "team={} asked_tokens={} begun_tokens={} recent_asked_tokens={} \
-                 recent_begun_tokens={} is_needy={is_needy} share_tokens={:.0} surplus_tokens={:.0} \
+                 recent_begun_tokens={} is_needy={is_underserved} share_tokens={:.0} surplus_tokens={:.0} \
                  sources={} oldest_ms={}",
                 known.map_or("-", |known| &known.name),
-                counts.window.asked_tokens,
-                counts.window.begun_tokens,
-                counts.recent.asked_tokens,
-                counts.recent.begun_tokens,
+                counts.window.requested_tokens,
+                counts.window.dispatched_tokens,
+                counts.recent.requested_tokens,
+                counts.recent.dispatched_tokens,
                 view.share_tokens,
                 view.surplus_tokens,
                 view.sources,
