--- a/crates/bergamotpitch-control/src/configuration/platforms.rs
+++ b/crates/bergamotpitch-control/src/configuration/platforms.rs
@@ -7,10 +7,10 @@
 
 /// `apply_reachable` notes whether the key-value service answered, and tells when that changed.
 pub fn apply_reachable(tables: &mut Tables, reachable: bool, outputs: &mut Vec<Output>) {
-    if tables.sheet_duty.platform_lost != reachable {
+    if tables.sheet_sync.platform_lost != reachable {
         return;
     }
-    tables.sheet_duty.platform_lost = !reachable;
+    tables.sheet_sync.platform_lost = !reachable;
     let kind = if reachable { EventKind::PlatformBack } else { EventKind::PlatformLost };
     outputs.push(Output::Emit(Event::of_kind(kind)));
 }
--- a/crates/bergamotpitch-control/src/configuration/sheet_indexes.rs
+++ b/crates/bergamotpitch-control/src/configuration/sheet_indexes.rs
@@ -25,15 +25,15 @@
 }
 
 impl SheetIndex {
-    /// `short_of` is the short form of a team's id, if no other team shares it.
-    pub fn short_of(&self, team: TeamId) -> Option<[u8; 2]> {
+    /// `short_team_id` is the short form of a team's id, if no other team shares it.
+    pub fn short_team_id(&self, team: TeamId) -> Option<[u8; 2]> {
         let short = shorten(team);
         let is_own = self.teams.get(&short).is_some_and(|known| *known == Some(team));
         is_own.then_some(short)
     }
 
-    /// `team_of_short` is the team that a short id stands for.
-    pub fn team_of_short(&self, short: [u8; 2]) -> Option<TeamId> {
+    /// `team_of_short_id` is the team that a short id stands for.
+    pub fn team_of_short_id(&self, short: [u8; 2]) -> Option<TeamId> {
         self.teams.get(&short).copied().flatten()
     }
 }
--- a/crates/bergamotpitch-control/src/configuration/sheets.rs
+++ b/crates/bergamotpitch-control/src/configuration/sheets.rs
@@ -6,7 +6,7 @@
 use bergamotpitch_core::ids::{SheetVersion, id_of_name};
 use bergamotpitch_core::sheets::AcceptedSheet;
 
-use crate::configuration::sheet_duties;
+use crate::configuration::sheet_syncs;
 use crate::outputs::{Event, Output};
 use crate::tables::{Tables, Team, Upstream};
 
@@ -15,17 +15,17 @@
     let in_force = tables.sheet.as_ref().map_or(0, |sheet| sheet.version);
     // A peer with an older sheet, or a late answer, must not bring an old version back: operators
     // would see a setting revert. Versions only rise.
-    let is_older = sheet.version <= in_force && tables.options.sheet_guards.only_rises;
+    let is_older = sheet.version <= in_force && tables.options.sheet_guards.requires_newer_version;
     if is_older {
-        emit_passed_over(sheet.version, in_force, outputs);
+        emit_ignored_sheet(sheet.version, in_force, outputs);
         return;
     }
-    if !sheet_duties::may_begin_with(tables, sheet.version) {
+    if !sheet_syncs::may_adopt_first(tables, sheet.version) {
         return;
     }
     fill_upstreams(tables, &sheet);
     fill_teams(tables, &sheet);
-    tables.sheet_duty.awaited_since = None;
+    tables.sheet_sync.outdated_since = None;
     tables.sheet = Some(Arc::clone(&sheet));
     let event =
         Event::of_kind(EventKind::SheetInForce).with_detail(format!("version {}", sheet.version));
@@ -34,7 +34,7 @@
 }
 
 /// The version in force is read again all the time; only an older one is worth a word.
-fn emit_passed_over(offered: SheetVersion, in_force: SheetVersion, outputs: &mut Vec<Output>) {
+fn emit_ignored_sheet(offered: SheetVersion, in_force: SheetVersion, outputs: &mut Vec<Output>) {
     if offered == in_force {
         return;
     }
--- a/crates/bergamotpitch-control/src/engine_orders/order_leases.rs
+++ b/crates/bergamotpitch-control/src/engine_orders/order_leases.rs
@@ -2,20 +2,20 @@
 
 use bergamotpitch_core::units::Timestamp;
 
-use crate::engine_orders::orders::OrderDuty;
+use crate::engine_orders::orders::OrderScheduler;
 
 /// `OrderGuards` are the rules that a proof switches off one by one; all are on by default.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OrderGuards {
     /// The time is checked right before an order is sent.
-    pub stops_before_lapse: bool,
+    pub stops_before_expiry: bool,
     /// A new holder waits out the longest order in flight.
-    pub waits_out_flight: bool,
+    pub waits_for_orders_in_flight: bool,
 }
 
 impl Default for OrderGuards {
     fn default() -> Self {
-        Self { stops_before_lapse: true, waits_out_flight: true }
+        Self { stops_before_expiry: true, waits_for_orders_in_flight: true }
     }
 }
 
@@ -30,14 +30,14 @@
     /// A session is being opened.
     Opening {
         /// When that was asked for.
-        asked: Timestamp,
+        requested_at: Timestamp,
     },
     /// A session is open and the lock is asked for.
     Locking {
         /// The session.
         session: String,
         /// When the session was asked for; its time runs from then on at the earliest.
-        renewed: Timestamp,
+        renewed_at: Timestamp,
     },
     /// The lock is held.
     Held(Held),
@@ -51,11 +51,11 @@
     /// Fencing number.
     pub fencing: u64,
     /// When the lock was won, as this instance learned.
-    pub acquired: Timestamp,
+    pub acquired_at: Timestamp,
     /// Time from which on no order may be sent.
     pub valid_until: Timestamp,
     /// When the renewal under way was asked for.
-    pub renewal_asked: Option<Timestamp>,
+    pub renewal_requested_at: Option<Timestamp>,
     /// When the next renewal is due.
     pub renew_at: Timestamp,
 }
@@ -112,70 +112,70 @@
 }
 
 /// `apply_lease_event` takes over the result of a call.
-pub fn apply_lease_event(duty: &mut OrderDuty, now: Timestamp, event: LeaseEvent) {
-    let absent = Lease::Absent { retry_at: now + duty.options.retry_pause };
-    let usable = duty.options.lease_ttl.saturating_sub(duty.options.lease_margin);
-    let lease = std::mem::replace(&mut duty.lease, absent);
-    duty.lease = match (lease, event) {
-        (Lease::Opening { asked }, LeaseEvent::Opened { session }) => {
-            Lease::Locking { session, renewed: asked }
+pub fn apply_lease_event(scheduler: &mut OrderScheduler, now: Timestamp, event: LeaseEvent) {
+    let absent = Lease::Absent { retry_at: now + scheduler.options.retry_delay };
+    let usable = scheduler.options.lease_ttl.saturating_sub(scheduler.options.lease_margin);
+    let lease = std::mem::replace(&mut scheduler.lease, absent);
+    scheduler.lease = match (lease, event) {
+        (Lease::Opening { requested_at }, LeaseEvent::Opened { session }) => {
+            Lease::Locking { session, renewed_at: requested_at }
         }
-        (Lease::Locking { session, renewed }, LeaseEvent::Locked { fencing }) => {
+        (Lease::Locking { session, renewed_at }, LeaseEvent::Locked { fencing }) => {
             Lease::Held(Held {
                 session,
                 fencing,
-                acquired: now,
+                acquired_at: now,
                 // The platform counts from when it took the call, which is later than the asking:
                 // the holder's own end comes first.
-                valid_until: renewed + usable,
-                renewal_asked: None,
-                renew_at: renewed + duty.options.renew_interval,
+                valid_until: renewed_at + usable,
+                renewal_requested_at: None,
+                renew_at: renewed_at + scheduler.options.renew_interval,
             })
         }
         (Lease::Held(held), LeaseEvent::Renewed) => {
-            let renewed = held.renewal_asked.unwrap_or(held.acquired);
+            let renewed_at = held.renewal_requested_at.unwrap_or(held.acquired_at);
             Lease::Held(Held {
-                valid_until: held.valid_until.max(renewed + usable),
-                renewal_asked: None,
-                renew_at: renewed + duty.options.renew_interval,
+                valid_until: held.valid_until.max(renewed_at + usable),
+                renewal_requested_at: None,
+                renew_at: renewed_at + scheduler.options.renew_interval,
                 ..held
             })
         }
         // A renewal whose answer was lost is asked for again; meanwhile the old end stands.
         (Lease::Held(held), LeaseEvent::Failed) if now < held.valid_until => Lease::Held(Held {
-            renewal_asked: None,
-            renew_at: now + duty.options.retry_pause,
+            renewal_requested_at: None,
+            renew_at: now + scheduler.options.retry_delay,
             ..held
         }),
-        (_, LeaseEvent::Taken) => Lease::Absent { retry_at: now + duty.options.lease_ttl / 2 },
+        (_, LeaseEvent::Taken) => Lease::Absent { retry_at: now + scheduler.options.lease_ttl / 2 },
         _ => return,
     };
 }
 
 /// `run_lease` makes the call that is due, if any.
-pub(crate) fn run_lease(duty: &mut OrderDuty, now: Timestamp) -> Option<LeaseEffect> {
-    let ttl = duty.options.lease_ttl;
-    let has_orders = duty.has_orders_in_flight();
-    match &mut duty.lease {
-        Lease::Absent { retry_at } if duty.is_candidate && *retry_at <= now => {
-            duty.lease = Lease::Opening { asked: now };
+pub(crate) fn run_lease(scheduler: &mut OrderScheduler, now: Timestamp) -> Option<LeaseEffect> {
+    let ttl = scheduler.options.lease_ttl;
+    let has_orders = scheduler.has_orders_in_flight();
+    match &mut scheduler.lease {
+        Lease::Absent { retry_at } if scheduler.is_candidate && *retry_at <= now => {
+            scheduler.lease = Lease::Opening { requested_at: now };
             Some(LeaseEffect::Open)
         }
         // An order that was put out may be sent until its time is over: the lock must not be free
         // for another holder before that.
-        Lease::Held(held) if !duty.is_candidate && !has_orders => {
+        Lease::Held(held) if !scheduler.is_candidate && !has_orders => {
             let session = held.session.clone();
-            duty.lease = Lease::Absent { retry_at: now + ttl };
+            scheduler.lease = Lease::Absent { retry_at: now + ttl };
             Some(LeaseEffect::Close { session })
         }
         Lease::Held(held) if held.valid_until <= now => {
             // Its end has passed; whether the platform still sees it as held does not matter.
             let session = held.session.clone();
-            duty.lease = Lease::Absent { retry_at: now + duty.options.retry_pause };
+            scheduler.lease = Lease::Absent { retry_at: now + scheduler.options.retry_delay };
             Some(LeaseEffect::Close { session })
         }
-        Lease::Held(held) if held.renewal_asked.is_none() && held.renew_at <= now => {
-            held.renewal_asked = Some(now);
+        Lease::Held(held) if held.renewal_requested_at.is_none() && held.renew_at <= now => {
+            held.renewal_requested_at = Some(now);
             Some(LeaseEffect::Renew { session: held.session.clone() })
         }
         _ => None,
@@ -183,8 +183,8 @@
 }
 
 /// `lock_effect` is the call that follows when a session was opened.
-pub fn lock_effect(duty: &OrderDuty) -> Option<LeaseEffect> {
-    match &duty.lease {
+pub fn lock_effect(scheduler: &OrderScheduler) -> Option<LeaseEffect> {
+    match &scheduler.lease {
         Lease::Locking { session, .. } => Some(LeaseEffect::Lock { session: session.clone() }),
         _ => None,
     }
--- a/crates/bergamotpitch-control/src/engine_orders/orders.rs
+++ b/crates/bergamotpitch-control/src/engine_orders/orders.rs
@@ -23,12 +23,12 @@
     /// Time between two renewals.
     pub renew_interval: Duration,
     /// Pause before the lease is asked for again.
-    pub retry_pause: Duration,
+    pub retry_delay: Duration,
     /// Longest time from the check before an order is sent until the engine has taken it or the
     /// connection is broken.
     pub order_flight_limit: Duration,
     /// Time after which an order is sent again while the engine does not report its model.
-    pub order_interval: Duration,
+    pub resend_interval: Duration,
     /// Loads of weights a minute that the weight store bears for the whole fleet.
     pub store_loads_per_minute: f64,
     /// Failure domains that share the weight store.
@@ -43,9 +43,9 @@
             lease_ttl: Duration::from_secs(10),
             lease_margin: Duration::from_secs(2),
             renew_interval: Duration::from_secs(3),
-            retry_pause: Duration::from_secs(1),
+            retry_delay: Duration::from_secs(1),
             order_flight_limit: Duration::from_secs(3),
-            order_interval: Duration::from_secs(30),
+            resend_interval: Duration::from_secs(30),
             store_loads_per_minute: 60.0,
             domain_count: 3,
             guards: OrderGuards::default(),
@@ -84,13 +84,13 @@
 pub enum OrderEffect {
     /// A call that concerns the lease.
     Lease(LeaseEffect),
-    /// Send an order; its end goes to `apply_order_end`.
+    /// Send an order; its end goes to `apply_order_result`.
     Send(Order),
 }
 
-/// `OrderEnd` is how an order ended.
+/// `OrderResult` is how an order ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OrderEnd {
+pub enum OrderResult {
     /// The engine took it.
     Taken,
     /// The engine refused it, since its fencing number is old.
@@ -101,15 +101,15 @@
     Unknown,
 }
 
-/// `OrderDuty` is the state of the orders of one domain at one instance.
+/// `OrderScheduler` is the state of the orders of one domain at one instance.
 #[derive(Debug)]
-pub struct OrderDuty {
+pub struct OrderScheduler {
     pub(crate) options: OrderOptions,
     pub(crate) is_candidate: bool,
     pub(crate) lease: Lease,
     wanted: Vec<WantedModel>,
     engines: HashMap<UpstreamId, EngineOrders>,
-    next_load: Timestamp,
+    next_load_at: Timestamp,
     /// Fencing number under which orders were last put out.
     term: Option<u64>,
 }
@@ -117,14 +117,14 @@
 #[derive(Debug, Default)]
 struct EngineOrders {
     /// Model of the last order and when it was put out.
-    last: Option<(String, Timestamp)>,
+    last_order: Option<(String, Timestamp)>,
     /// True while an order's end has not come.
     in_flight: bool,
     /// Time until which an order whose end is unknown may still arrive.
-    settles: Timestamp,
+    in_flight_until: Timestamp,
 }
 
-impl OrderDuty {
+impl OrderScheduler {
     /// `new` makes a duty that holds nothing and is no candidate.
     pub fn new(options: OrderOptions) -> Self {
         Self {
@@ -133,7 +133,7 @@
             lease: Lease::default(),
             wanted: Vec::new(),
             engines: HashMap::default(),
-            next_load: Duration::ZERO,
+            next_load_at: Duration::ZERO,
             term: None,
         }
     }
@@ -158,46 +158,53 @@
 }
 
 /// `set_candidate` says whether this instance should hold the lease.
-pub fn set_candidate(duty: &mut OrderDuty, is_candidate: bool) {
-    duty.is_candidate = is_candidate;
+pub fn set_candidate(scheduler: &mut OrderScheduler, is_candidate: bool) {
+    scheduler.is_candidate = is_candidate;
 }
 
 /// `set_wanted` takes over what the engines of the domain should have loaded.
-pub fn set_wanted(duty: &mut OrderDuty, wanted: Vec<WantedModel>) {
-    duty.wanted = wanted;
+pub fn set_wanted(scheduler: &mut OrderScheduler, wanted: Vec<WantedModel>) {
+    scheduler.wanted = wanted;
 }
 
 /// `set_domain_count` takes over how many failure domains share the weight store.
-pub fn set_domain_count(duty: &mut OrderDuty, domain_count: u32) {
-    duty.options.domain_count = domain_count;
+pub fn set_domain_count(scheduler: &mut OrderScheduler, domain_count: u32) {
+    scheduler.options.domain_count = domain_count;
 }
 
 /// `run` keeps the lease and puts out the orders that are due.
-pub fn run(duty: &mut OrderDuty, now: Timestamp) -> Vec<OrderEffect> {
+pub fn run(scheduler: &mut OrderScheduler, now: Timestamp) -> Vec<OrderEffect> {
     let mut effects = Vec::new();
-    if let Some(effect) = crate::engine_orders::order_leases::run_lease(duty, now) {
+    if let Some(effect) = crate::engine_orders::order_leases::run_lease(scheduler, now) {
         effects.push(OrderEffect::Lease(effect));
     }
-    if let Lease::Held(held) = &duty.lease {
+    if let Lease::Held(held) = &scheduler.lease {
         let held = held.clone();
-        begin_term(duty, &held);
-        put_out_orders(duty, &held, now, &mut effects);
+        begin_term(scheduler, &held);
+        issue_orders(scheduler, &held, now, &mut effects);
     }
     effects
 }
 
-/// `apply_order_end` notes how an order ended.
-pub fn apply_order_end(duty: &mut OrderDuty, now: Timestamp, upstream: UpstreamId, end: OrderEnd) {
-    let flight = duty.options.order_flight_limit;
-    let Some(engine) = duty.engines.get_mut(&upstream) else { return };
+/// `apply_order_result` notes how an order ended.
+pub fn apply_order_result(
+    scheduler: &mut OrderScheduler,
+    now: Timestamp,
+    upstream: UpstreamId,
+    result: OrderResult,
+) {
+    let flight = scheduler.options.order_flight_limit;
+    let Some(engine) = scheduler.engines.get_mut(&upstream) else { return };
     engine.in_flight = false;
-    match end {
-        OrderEnd::Taken => {}
-        OrderEnd::NotSent => engine.last = None,
+    match result {
+        OrderResult::Taken => {}
+        OrderResult::NotSent => engine.last_order = None,
         // An order that may still arrive would undo the next one to this engine.
-        OrderEnd::Unknown => engine.settles = now + flight,
+        OrderResult::Unknown => engine.in_flight_until = now + flight,
         // A later holder exists, whatever this instance believes.
-        OrderEnd::Refused => duty.lease = Lease::Absent { retry_at: now + duty.options.lease_ttl },
+        OrderResult::Refused => {
+            scheduler.lease = Lease::Absent { retry_at: now + scheduler.options.lease_ttl }
+        }
     }
 }
 
@@ -216,7 +223,7 @@
 /// assert!(!may_send(&order, Duration::from_secs(8), OrderGuards::default()));
 /// ```
 pub fn may_send(order: &Order, now: Timestamp, guards: OrderGuards) -> bool {
-    now < order.send_by || !guards.stops_before_lapse
+    now < order.send_by || !guards.stops_before_expiry
 }
 
 /// `load_interval` is the time between two loads in one domain.
@@ -239,37 +246,37 @@
 
 // Others may have ordered something since this instance last held the lease, and whoever held it
 // before may have begun a load just now.
-fn begin_term(duty: &mut OrderDuty, held: &Held) {
-    if duty.term == Some(held.fencing) {
+fn begin_term(scheduler: &mut OrderScheduler, held: &Held) {
+    if scheduler.term == Some(held.fencing) {
         return;
     }
-    duty.term = Some(held.fencing);
-    duty.next_load = held.acquired + load_interval(&duty.options);
-    duty.engines.values_mut().for_each(|engine| engine.last = None);
+    scheduler.term = Some(held.fencing);
+    scheduler.next_load_at = held.acquired_at + load_interval(&scheduler.options);
+    scheduler.engines.values_mut().for_each(|engine| engine.last_order = None);
 }
 
-fn put_out_orders(
-    duty: &mut OrderDuty,
+fn issue_orders(
+    scheduler: &mut OrderScheduler,
     held: &Held,
     now: Timestamp,
     effects: &mut Vec<OrderEffect>,
 ) {
-    if held.valid_until <= now || !duty.is_candidate {
+    if held.valid_until <= now || !scheduler.is_candidate {
         return;
     }
-    for wanted in &duty.wanted {
-        if now < duty.next_load {
+    for wanted in &scheduler.wanted {
+        if now < scheduler.next_load_at {
             return;
         }
-        let engine = duty.engines.entry(wanted.upstream).or_default();
-        if !is_due(engine, wanted, now, duty.options.order_interval)
-            || now < first_order(held, wanted, &duty.options)
+        let engine = scheduler.engines.entry(wanted.upstream).or_default();
+        if !is_due(engine, wanted, now, scheduler.options.resend_interval)
+            || now < earliest_order(held, wanted, &scheduler.options)
         {
             continue;
         }
         engine.in_flight = true;
-        engine.last = Some((wanted.model.clone(), now));
-        duty.next_load = now + load_interval(&duty.options);
+        engine.last_order = Some((wanted.model.clone(), now));
+        scheduler.next_load_at = now + load_interval(&scheduler.options);
         effects.push(OrderEffect::Send(Order {
             upstream: wanted.upstream,
             fencing: held.fencing,
@@ -283,14 +290,14 @@
     engine: &EngineOrders,
     wanted: &WantedModel,
     now: Timestamp,
-    order_interval: Duration,
+    resend_interval: Duration,
 ) -> bool {
-    if engine.in_flight || now < engine.settles {
+    if engine.in_flight || now < engine.in_flight_until {
         return false;
     }
-    match &engine.last {
+    match &engine.last_order {
         Some((model, at)) if *model == wanted.model => {
-            wanted.reported_model.as_ref() != Some(&wanted.model) && *at + order_interval <= now
+            wanted.reported_model.as_ref() != Some(&wanted.model) && *at + resend_interval <= now
         }
         Some(_) => true,
         None => wanted.reported_model.as_ref() != Some(&wanted.model),
@@ -300,9 +307,9 @@
 // An order that the holder before checked just before its lease ended may take until the flight
 // limit to arrive. An engine that checks numbers refuses it; any other must not get the new
 // holder's order before that one.
-fn first_order(held: &Held, wanted: &WantedModel, options: &OrderOptions) -> Timestamp {
-    if wanted.checks_fencing || !options.guards.waits_out_flight {
-        return held.acquired;
+fn earliest_order(held: &Held, wanted: &WantedModel, options: &OrderOptions) -> Timestamp {
+    if wanted.checks_fencing || !options.guards.waits_for_orders_in_flight {
+        return held.acquired_at;
     }
-    held.acquired + options.order_flight_limit + options.lease_margin
+    held.acquired_at + options.order_flight_limit + options.lease_margin
 }
--- a/crates/bergamotpitch-control/src/fairness/detours.rs
+++ b/crates/bergamotpitch-control/src/fairness/detours.rs
@@ -9,7 +9,7 @@
 use crate::fairness::share_messages::{PassedGrant, PassedReport, ShareReport};
 use crate::fairness::{home_reports, homes};
 use crate::inputs::Sender;
-use crate::membership::paces;
+use crate::membership::intervals;
 use crate::messages::Message;
 use crate::outputs::Output;
 use crate::tables::Tables;
@@ -70,7 +70,7 @@
     let member = tables.members.get(&holder)?;
     let is_answered = known
         .heard
-        .is_some_and(|heard| tables.now < heard + paces::slowed(tables, DETOUR_TIME) * 2);
+        .is_some_and(|heard| tables.now < heard + intervals::scaled(tables, DETOUR_TIME) * 2);
     let is_same = member.incarnation == known.home_incarnation && !member.draining;
     (member.suspected && is_same && is_answered).then_some(holder)
 }
@@ -86,7 +86,7 @@
         return;
     };
     // Grants that still come say nothing of the reports; only a report that was seen does.
-    let detour_time = paces::slowed(tables, DETOUR_TIME);
+    let detour_time = intervals::scaled(tables, DETOUR_TIME);
     let is_answered = known.answered.is_some_and(|at| tables.now < at + detour_time);
     let patience = if is_answered { STRAIGHT_TIME } else { detour_time };
     let is_unheard = tables.members.get(&holder).is_none_or(|member| member.suspected);
--- a/crates/bergamotpitch-control/src/fairness/domain_reports.rs
+++ b/crates/bergamotpitch-control/src/fairness/domain_reports.rs
@@ -107,7 +107,7 @@
         if entry.changed <= remote.seen && remote.seen != 0 {
             continue;
         }
-        let Some(short_team) = tables.index.short_of(*team) else { continue };
+        let Some(short_team) = tables.index.short_team_id(*team) else { continue };
         teams.push(DomainTeamLine {
             short_team,
             served: (entry.served_cost.max(0) as u64 / SERVED_QUANTUM) as u32,
@@ -301,7 +301,7 @@
     let is_reference = spills::reference(tables, home) == domain;
     let mut touched: Vec<TeamId> = Vec::new();
     for line in &report.teams {
-        let Some(team) = tables.index.team_of_short(line.short_team) else { continue };
+        let Some(team) = tables.index.team_of_short_id(line.short_team) else { continue };
         let Some(remote) = home.remotes.get_mut(&domain) else { return };
         let known = remote.teams.entry(team).or_default();
         let cost = i64::from(line.served) - i64::from(known.served);
--- a/crates/bergamotpitch-control/src/fairness/grants.rs
+++ b/crates/bergamotpitch-control/src/fairness/grants.rs
@@ -11,7 +11,7 @@
 use crate::fairness::levels::{LEVEL_SCALE, Level, level_of_cost, share_of};
 use crate::fairness::share_messages::{GrantLine, LevelLine, PassedGrant, ShareGrant};
 use crate::fairness::{accounts, spills};
-use crate::membership::paces;
+use crate::membership::intervals;
 use crate::messages::Message;
 use crate::outputs::Output;
 use crate::tables::Tables;
@@ -74,7 +74,7 @@
         .iter()
         .filter(|(instance, router)| {
             let is_silent =
-                router.heard + paces::slowed(tables, tables.options.peer_timeout) < tables.now;
+                router.heard + intervals::scaled(tables, tables.options.peer_timeout) < tables.now;
             **instance != tables.options.instance
                 && tables.members.get(instance).is_none_or(|member| {
                     member.suspected && is_silent || router.incarnation < member.incarnation
@@ -229,12 +229,12 @@
     let Some(router) = home.routers.get(&instance) else { return };
     let since = router.sent.map(|sent| tables.now.saturating_sub(sent));
     let waited = |time: Duration| since.is_none_or(|since| time <= since);
-    if !waited(paces::slowed(tables, tables.options.share_spacing)) {
+    if !waited(intervals::scaled(tables, tables.options.share_spacing)) {
         return;
     }
     let over = router.over;
     let is_due = router.urgent
-        || waited(paces::slowed(tables, tables.options.share_interval))
+        || waited(intervals::scaled(tables, tables.options.share_interval))
             && has_news(tables, service, home, router);
     if is_due {
         let grant = build_grant(tables, service, home, instance);
@@ -249,7 +249,7 @@
         (now, told) => now != told,
     };
     let is_stale =
-        router.sent.is_none_or(|sent| sent + paces::slowed(tables, REFRESH_TIME) <= tables.now);
+        router.sent.is_none_or(|sent| sent + intervals::scaled(tables, REFRESH_TIME) <= tables.now);
     let recalls = home.remotes.values().any(|remote| spills::recalled(tables, home, remote) != 0);
     moved || is_stale || recalls || router.sent_seen != router.sequence
 }
@@ -313,7 +313,7 @@
     let base = home.frontier.unwrap_or(0);
     let Some(router) = home.routers.get_mut(&instance) else { return Vec::new() };
     let is_refresh =
-        router.sent.is_none_or(|sent| sent + paces::slowed(tables, REFRESH_TIME) <= tables.now);
+        router.sent.is_none_or(|sent| sent + intervals::scaled(tables, REFRESH_TIME) <= tables.now);
     let mut lines = Vec::new();
     for (team, entry) in &mut router.teams {
         if entry.waiting_requests == 0 {
--- a/crates/bergamotpitch-control/src/fairness/leases.rs
+++ b/crates/bergamotpitch-control/src/fairness/leases.rs
@@ -13,7 +13,7 @@
 use crate::fairness::accounts;
 use crate::fairness::levels::{Level, level_of_cost, share_of};
 use crate::fairness::share_messages::{ShareGrant, ShareReport, SlotLine, TeamLine};
-use crate::membership::paces;
+use crate::membership::intervals;
 use crate::tables::{QueueKey, Tables};
 
 /// Silence of the home after which its frontier no longer binds.
@@ -200,7 +200,7 @@
     let floor = leases.frontier.unwrap_or(0);
     let Some(team) = leases.teams.get(&key.team) else { return floor };
     match team.elsewhere {
-        Some(elsewhere) if tables.now < team.told + paces::slowed(tables, LEVEL_LIFETIME) => {
+        Some(elsewhere) if tables.now < team.told + intervals::scaled(tables, LEVEL_LIFETIME) => {
             elsewhere + own
         }
         // The team may have been idle: it comes in at the frontier, with no credit saved up.
@@ -221,7 +221,7 @@
     leases: &Leases,
     domain: DomainId,
 ) -> Option<Level> {
-    let frontier_lifetime = paces::slowed(tables, FRONTIER_LIFETIME);
+    let frontier_lifetime = intervals::scaled(tables, FRONTIER_LIFETIME);
     let is_fresh = leases.heard.is_some_and(|heard| tables.now < heard + frontier_lifetime);
     if !is_fresh {
         return None;
--- a/crates/bergamotpitch-control/src/fairness/shares.rs
+++ b/crates/bergamotpitch-control/src/fairness/shares.rs
@@ -10,7 +10,7 @@
 use crate::fairness::share_messages::ShareReport;
 use crate::fairness::{accounts, detours, domain_reports, grants, home_reports, spills};
 use crate::inputs::Sender;
-use crate::membership::paces;
+use crate::membership::intervals;
 use crate::messages::Message;
 use crate::outputs::Output;
 use crate::tables::{QueueKey, Tables};
@@ -105,7 +105,7 @@
         return;
     }
     tables.duties_checked = Some(tables.now);
-    paces::note_instances(tables);
+    intervals::count_instances(tables);
     let own = tables.options.instance;
     for service in tables.index.services.clone() {
         let holder = detours::reached_home(tables, service)
@@ -147,7 +147,7 @@
         .iter()
         .filter(|(_, member)| member.domain == tables.options.domain && !member.suspected);
     let all_heard = members.all(|(instance, _)| home.routers.contains_key(instance));
-    if all_heard || home.since + paces::slowed(tables, homes::RECOVERY_TIME) <= tables.now {
+    if all_heard || home.since + intervals::scaled(tables, homes::RECOVERY_TIME) <= tables.now {
         let limit = tables.options.lead_limit_requests;
         homes::end_recovery(home, grants::requests_level(tables, service, limit));
         let estimate = accounts::service_estimate(tables, service);
@@ -165,7 +165,7 @@
     let charged = std::mem::take(&mut tables.charged);
     for key in charged {
         let estimate = accounts::service_estimate(tables, key.service);
-        let crowd = tables.domain_instances.saturating_sub(paces::FULL_PACE_INSTANCES);
+        let crowd = tables.domain_instances.saturating_sub(intervals::INSTANCES_PER_SCALE_STEP);
         let crowd_step_cost = estimate * u64::from(crowd) / TOLD_ROUTERS;
         let step_cost = (estimate as f64 * tables.options.report_step_requests) as u64;
         let step_cost = step_cost.max(crowd_step_cost);
@@ -205,9 +205,9 @@
     }
     let waited = |time: Duration| known.sent.is_none_or(|sent| sent + time <= tables.now);
     let is_unseen = known.seen < known.sequence;
-    known.urgent && waited(paces::slowed(tables, tables.options.share_spacing))
-        || known.changed && waited(paces::slowed(tables, tables.options.share_interval))
-        || (is_unseen || known.sequence == 0) && waited(paces::slowed(tables, REPEAT_TIME))
+    known.urgent && waited(intervals::scaled(tables, tables.options.share_spacing))
+        || known.changed && waited(intervals::scaled(tables, tables.options.share_interval))
+        || (is_unseen || known.sequence == 0) && waited(intervals::scaled(tables, REPEAT_TIME))
 }
 
 fn send_report(
--- a/crates/bergamotpitch-control/src/idempotency.rs
+++ b/crates/bergamotpitch-control/src/idempotency.rs
@@ -2,8 +2,8 @@
 
 mod claim_calls;
 pub mod claim_options;
-mod claim_paces;
 pub mod claim_queues;
+mod claim_rate_limiters;
 mod claim_rounds;
 pub mod claim_segments;
 pub mod claims;
--- a/crates/bergamotpitch-control/src/idempotency/claim_calls.rs
+++ b/crates/bergamotpitch-control/src/idempotency/claim_calls.rs
@@ -9,22 +9,22 @@
 use crate::idempotency::claim_queues::{
     ClaimEffect, ClaimQueues, ReadResult, SegmentReadResult, ShardQueue, WriteResult,
 };
-use crate::idempotency::claim_rounds::{Seen, Standing, judge_record};
+use crate::idempotency::claim_rounds::{ShardView, WriteState, apply_operations};
 use crate::idempotency::claim_segments::{
-    Segment, SegmentName, SegmentRound, key_set, next_segment, note_segment, split_record,
+    Segment, SegmentName, SegmentSearch, add_segment, key_set, next_unread_segment, split_record,
 };
 use crate::idempotency::claims::{ClaimKey, ShardId, ShardRecord, UnixSeconds, find_claim};
 
-/// `Call` is the call under way for a shard.
+/// `ShardCall` is the call under way for a shard.
 #[derive(Debug, Default)]
-pub(crate) enum Call {
+pub(crate) enum ShardCall {
     /// None.
     #[default]
     Idle,
     /// The record is being read.
     Reading,
     /// A segment is being read, with what the round knows so far.
-    ReadingSegment { record: ShardRecord, index: u64, round: SegmentRound },
+    ReadingSegment { record: ShardRecord, index: u64, round: SegmentSearch },
     /// A new segment is being written; the record that names it follows.
     WritingSegment { record: ShardRecord, name: SegmentName, segment: Segment, writing: Writing },
     /// The record is being written.
@@ -42,13 +42,13 @@
     expired: Vec<SegmentName>,
 }
 
-/// `Orphan` is a segment that was written and may be named by no record.
+/// `OrphanedSegment` is a segment that was written and may be named by no record.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Orphan {
+pub(crate) struct OrphanedSegment {
     name: SegmentName,
     /// Index on which the write of the record was based whose answer was lost. That write can still
     /// take effect for as long as the record has this index.
-    doubt_index: u64,
+    unconfirmed_index: u64,
 }
 
 /// `apply_read` judges what waits by the record that was read, and writes what is still wanted.
@@ -64,18 +64,20 @@
     let (record, index) = match result {
         ReadResult::Read { record, index } => (record, index),
         ReadResult::RateLimited => {
-            queues.pace.note_refusal(now);
+            queues.rate_limiter.decrease(now);
             return;
         }
         ReadResult::Failed => {
-            pause_shard(queues, shard, now);
+            back_off(queues, shard, now);
             return;
         }
     };
-    drop_orphans(queue, shard, &record, index, effects);
-    queue.caches.retain(|name, _| record.segments.iter().any(|reference| reference.name == *name));
-    let begun = Begun { record, index, round: SegmentRound::default() };
-    continue_round(queues, now, now_s, shard, begun, effects);
+    delete_orphans(queue, shard, &record, index, effects);
+    queue
+        .segment_keys
+        .retain(|name, _| record.segments.iter().any(|reference| reference.name == *name));
+    let shard_round = ShardRound { record, index, round: SegmentSearch::default() };
+    continue_round(queues, now, now_s, shard, shard_round, effects);
 }
 
 /// `apply_segment_read` goes on with the round that wanted the segment.
@@ -88,17 +90,18 @@
     effects: &mut Vec<ClaimEffect>,
 ) {
     let Some(queue) = queues.shards.get_mut(&shard) else { return };
-    let Call::ReadingSegment { record, index, mut round } = std::mem::take(&mut queue.call) else {
+    let ShardCall::ReadingSegment { record, index, mut round } = std::mem::take(&mut queue.call)
+    else {
         return;
     };
     queues.calls_in_flight -= 1;
     let SegmentReadResult::Read(segment) = result else {
-        pause_shard(queues, shard, now);
+        back_off(queues, shard, now);
         return;
     };
-    let wished = wished_keys(queue, &record);
-    note_segment(&mut queue.caches, &mut round, name, segment, &wished);
-    continue_round(queues, now, now_s, shard, Begun { record, index, round }, effects);
+    let requested = requested_keys(queue, &record);
+    add_segment(&mut queue.segment_keys, &mut round, name, segment, &requested);
+    continue_round(queues, now, now_s, shard, ShardRound { record, index, round }, effects);
 }
 
 /// `apply_segment_write` writes the record that names the new segment.
@@ -110,7 +113,8 @@
     effects: &mut Vec<ClaimEffect>,
 ) {
     let Some(queue) = queues.shards.get_mut(&shard) else { return };
-    let Call::WritingSegment { record, name, segment, writing } = std::mem::take(&mut queue.call)
+    let ShardCall::WritingSegment { record, name, segment, writing } =
+        std::mem::take(&mut queue.call)
     else {
         return;
     };
@@ -118,13 +122,13 @@
     if result != WriteResult::Written {
         // The record was not sent, so that nothing names the segment; it is written anew under
         // another name in a later round.
-        effects.push(ClaimEffect::DropSegment { shard, name });
-        queue.pending.iter_mut().for_each(|pending| pending.leave_write(false));
-        pause_shard(queues, shard, now);
+        effects.push(ClaimEffect::DeleteSegment { shard, name });
+        queue.pending.iter_mut().for_each(|pending| pending.requeue(false));
+        back_off(queues, shard, now);
         return;
     }
     let base_index = writing.index;
-    queue.call = Call::Writing(Writing { new_segment: Some((name, segment)), ..writing });
+    queue.call = ShardCall::Writing(Writing { new_segment: Some((name, segment)), ..writing });
     queues.calls_in_flight += 1;
     effects.push(ClaimEffect::Write { shard, record, base_index });
 }
@@ -138,47 +142,47 @@
     effects: &mut Vec<ClaimEffect>,
 ) {
     let Some(queue) = queues.shards.get_mut(&shard) else { return };
-    let Call::Writing(writing) = std::mem::take(&mut queue.call) else { return };
+    let ShardCall::Writing(writing) = std::mem::take(&mut queue.call) else { return };
     let Writing { index, new_segment, expired } = writing;
     queues.calls_in_flight -= 1;
     let guards = queues.options.guards;
-    let is_trusted = result == WriteResult::InDoubt && !guards.reads_back;
-    if result == WriteResult::Written || is_trusted {
+    let is_assumed_written = result == WriteResult::Unconfirmed && !guards.reads_back;
+    if result == WriteResult::Written || is_assumed_written {
         if let Some((name, segment)) = new_segment {
-            queue.caches.insert(name, key_set(&segment));
+            queue.segment_keys.insert(name, key_set(&segment));
         }
         // Whoever still reads by an older record finds the segment gone and reads the record anew.
-        effects.extend(expired.into_iter().map(|name| ClaimEffect::DropSegment { shard, name }));
+        effects.extend(expired.into_iter().map(|name| ClaimEffect::DeleteSegment { shard, name }));
         let count = queue.pending.len();
-        settle_written(queue, effects);
-        queues.pace.note_success();
+        complete_written(queue, effects);
+        queues.rate_limiter.increase();
         queues.waiting_operations -= count - queue.pending.len();
-        queue.pause = Duration::ZERO;
+        queue.backoff = Duration::ZERO;
         queue.due = now + queues.options.commit_interval;
         return;
     }
-    let in_doubt = result == WriteResult::InDoubt;
+    let is_unconfirmed = result == WriteResult::Unconfirmed;
     if let Some((name, _)) = new_segment {
         // A record whose write is in doubt may name the segment. Without the segment nobody could
         // tell whether one of its keys is claimed, and the whole shard would take no more claims.
-        if in_doubt && guards.keeps_doubtful_segments {
-            queue.orphans.push(Orphan { name, doubt_index: index });
+        if is_unconfirmed && guards.keeps_unconfirmed_segments {
+            queue.orphans.push(OrphanedSegment { name, unconfirmed_index: index });
         } else {
-            effects.push(ClaimEffect::DropSegment { shard, name });
+            effects.push(ClaimEffect::DeleteSegment { shard, name });
         }
     }
-    queue.pending.iter_mut().for_each(|pending| pending.leave_write(in_doubt));
+    queue.pending.iter_mut().for_each(|pending| pending.requeue(is_unconfirmed));
     if result == WriteResult::RateLimited {
-        queues.pace.note_refusal(now);
+        queues.rate_limiter.decrease(now);
         return;
     }
-    pause_shard(queues, shard, now);
+    back_off(queues, shard, now);
 }
 
-struct Begun {
+struct ShardRound {
     record: ShardRecord,
     index: u64,
-    round: SegmentRound,
+    round: SegmentSearch,
 }
 
 fn continue_round(
@@ -186,18 +190,18 @@
     now: Timestamp,
     now_s: UnixSeconds,
     shard: ShardId,
-    begun: Begun,
+    shard_round: ShardRound,
     effects: &mut Vec<ClaimEffect>,
 ) {
     let name: SegmentName =
         (u128::from(queues.random.next_u64()) << 64) | u128::from(queues.random.next_u64());
     let options = &queues.options;
     let Some(queue) = queues.shards.get_mut(&shard) else { return };
-    let Begun { record, index, round } = begun;
-    if options.guards.looks_in_segments {
-        let wished = wished_keys(queue, &record);
-        if let Some(name) = next_segment(&record, &queue.caches, &round, &wished) {
-            queue.call = Call::ReadingSegment { record, index, round };
+    let ShardRound { record, index, round } = shard_round;
+    if options.guards.searches_segments {
+        let requested = requested_keys(queue, &record);
+        if let Some(name) = next_unread_segment(&record, &queue.segment_keys, &round, &requested) {
+            queue.call = ShardCall::ReadingSegment { record, index, round };
             queues.calls_in_flight += 1;
             effects.push(ClaimEffect::ReadSegment { shard, name });
             return;
@@ -206,40 +210,41 @@
     let named: Vec<SegmentName> = record.segments.iter().map(|reference| reference.name).collect();
     let count = queue.pending.len();
     let read_number = queue.reads_begun;
-    let seen = Seen { record, index, read_number, found: &round.found };
-    let judged = judge_record(&mut queue.pending, seen, now_s, options, effects);
+    let view = ShardView { record, index, read_number, segment_claims: &round.segment_claims };
+    let updated = apply_operations(&mut queue.pending, view, now_s, options, effects);
     queues.waiting_operations -= count - queue.pending.len();
-    let Some(judged) = judged else {
-        queue.pause = Duration::ZERO;
+    let Some(updated) = updated else {
+        queue.backoff = Duration::ZERO;
         queue.due = now + options.commit_interval;
         return;
     };
     queues.calls_in_flight += 1;
-    let is_named =
-        |name: &SegmentName| judged.record.segments.iter().any(|reference| reference.name == *name);
+    let is_named = |name: &SegmentName| {
+        updated.record.segments.iter().any(|reference| reference.name == *name)
+    };
     let expired = named.into_iter().filter(|name| !is_named(name)).collect();
     let writing = Writing { index, new_segment: None, expired };
-    let split = split_record(&judged.record, name, now_s, &judged.new_nonces, options);
+    let split = split_record(&updated.record, name, now_s, &updated.new_nonces, options);
     if let Some((record, segment)) = split {
         effects.push(ClaimEffect::WriteSegment { shard, name, segment: segment.clone() });
-        queue.call = Call::WritingSegment { record, name, segment, writing };
+        queue.call = ShardCall::WritingSegment { record, name, segment, writing };
         return;
     }
-    queue.call = Call::Writing(writing);
-    effects.push(ClaimEffect::Write { shard, record: judged.record, base_index: index });
+    queue.call = ShardCall::Writing(writing);
+    effects.push(ClaimEffect::Write { shard, record: updated.record, base_index: index });
 }
 
-fn wished_keys(queue: &ShardQueue, record: &ShardRecord) -> Vec<ClaimKey> {
+fn requested_keys(queue: &ShardQueue, record: &ShardRecord) -> Vec<ClaimKey> {
     queue
         .pending
         .iter()
-        .filter_map(|pending| pending.wished_key())
+        .filter_map(|pending| pending.requested_key())
         .filter(|key| find_claim(record, key).is_none())
         .collect()
 }
 
 // A segment whose record did not take effect is deleted, once that is certain.
-fn drop_orphans(
+fn delete_orphans(
     queue: &mut ShardQueue,
     shard: ShardId,
     record: &ShardRecord,
@@ -250,17 +255,17 @@
         if record.segments.iter().any(|reference| reference.name == orphan.name) {
             return false;
         }
-        let can_still_land = index <= orphan.doubt_index;
-        if !can_still_land {
-            effects.push(ClaimEffect::DropSegment { shard, name: orphan.name });
+        let may_take_effect = index <= orphan.unconfirmed_index;
+        if !may_take_effect {
+            effects.push(ClaimEffect::DeleteSegment { shard, name: orphan.name });
         }
-        can_still_land
+        may_take_effect
     });
 }
 
-fn settle_written(queue: &mut ShardQueue, effects: &mut Vec<ClaimEffect>) {
+fn complete_written(queue: &mut ShardQueue, effects: &mut Vec<ClaimEffect>) {
     queue.pending.retain(|pending| {
-        if !matches!(pending.standing, Standing::InWrite { .. }) {
+        if !matches!(pending.write_state, WriteState::InWrite { .. }) {
             return true;
         }
         effects.extend(pending.won_answer());
@@ -270,17 +275,17 @@
 
 fn end_call(queues: &mut ClaimQueues, shard: ShardId) -> Option<&mut ShardQueue> {
     let queue = queues.shards.get_mut(&shard)?;
-    queue.call = Call::Idle;
+    queue.call = ShardCall::Idle;
     queues.calls_in_flight -= 1;
     Some(queue)
 }
 
 // The pause doubles and has jitter: without both, routers that failed together would come back
 // together, and the service would be over its rate of calls again as soon as it answers.
-fn pause_shard(queues: &mut ClaimQueues, shard: ShardId, now: Timestamp) {
+fn back_off(queues: &mut ClaimQueues, shard: ShardId, now: Timestamp) {
     let jitter = f64::from(queues.random.next_u32()) / f64::from(u32::MAX);
     let Some(queue) = queues.shards.get_mut(&shard) else { return };
-    let longest = queues.options.longest_pause;
-    queue.pause = (queue.pause * 2).clamp(queues.options.retry_pause, longest);
-    queue.due = now + queue.pause.mul_f64(0.5 + jitter / 2.0);
+    let longest = queues.options.max_backoff;
+    queue.backoff = (queue.backoff * 2).clamp(queues.options.initial_backoff, longest);
+    queue.due = now + queue.backoff.mul_f64(0.5 + jitter / 2.0);
 }
--- a/crates/bergamotpitch-control/src/idempotency/claim_options.rs
+++ b/crates/bergamotpitch-control/src/idempotency/claim_options.rs
@@ -10,7 +10,7 @@
     /// Time for which a claim holds.
     pub lifetime: Duration,
     /// Most that two wall clocks may differ.
-    pub clock_margin: Duration,
+    pub max_clock_skew: Duration,
     /// Record of a shard, in bytes, above which settled claims move into a segment.
     pub segment_bytes: usize,
     /// Largest record of a shard, in bytes; a fuller shard takes no new claims.
@@ -27,10 +27,10 @@
     pub outcome_delay: Duration,
     /// Time after which a wish to claim is given up.
     pub claim_timeout: Duration,
-    /// Pause after a failed call; it doubles up to `longest_pause`.
-    pub retry_pause: Duration,
+    /// Pause after a failed call; it doubles up to `max_backoff`.
+    pub initial_backoff: Duration,
     /// Longest pause between two calls for one shard.
-    pub longest_pause: Duration,
+    pub max_backoff: Duration,
     /// Seed of the jitter.
     pub seed: u64,
     /// Guards that a test may switch off to show what they are for.
@@ -42,7 +42,7 @@
         Self {
             shard_count: 32,
             lifetime: Duration::from_secs(24 * 3600),
-            clock_margin: Duration::from_secs(600),
+            max_clock_skew: Duration::from_secs(600),
             segment_bytes: 16_000,
             shard_limit_bytes: 900_000,
             outcome_limit_bytes: 2_048,
@@ -51,8 +51,8 @@
             commit_interval: Duration::from_millis(20),
             outcome_delay: Duration::from_millis(250),
             claim_timeout: Duration::from_secs(2),
-            retry_pause: Duration::from_millis(10),
-            longest_pause: Duration::from_secs(1),
+            initial_backoff: Duration::from_millis(10),
+            max_backoff: Duration::from_secs(1),
             seed: 1,
             guards: ClaimGuards::default(),
         }
@@ -65,26 +65,26 @@
     /// A write whose answer was lost is read back before anybody is told what it did.
     pub reads_back: bool,
     /// A key is said to be taken only by a read that began after the wish came.
-    pub reads_after_wish: bool,
+    pub reads_after_request: bool,
     /// A claim that was given up while in doubt is released once it is seen.
     pub releases_abandoned: bool,
     /// Keys are also looked for in the segments of a shard.
-    pub looks_in_segments: bool,
+    pub searches_segments: bool,
     /// A segment is dropped only once no record can refer to it any more.
-    pub keeps_doubtful_segments: bool,
+    pub keeps_unconfirmed_segments: bool,
     /// A release is settled only once no copy of the doubtful write can take effect any more.
-    pub fences_doubtful: bool,
+    pub fences_unconfirmed: bool,
 }
 
 impl Default for ClaimGuards {
     fn default() -> Self {
         Self {
             reads_back: true,
-            reads_after_wish: true,
+            reads_after_request: true,
             releases_abandoned: true,
-            looks_in_segments: true,
-            keeps_doubtful_segments: true,
-            fences_doubtful: true,
+            searches_segments: true,
+            keeps_unconfirmed_segments: true,
+            fences_unconfirmed: true,
         }
     }
 }
--- a/crates/bergamotpitch-control/src/idempotency/claim_queues.rs
+++ b/crates/bergamotpitch-control/src/idempotency/claim_queues.rs
@@ -11,25 +11,25 @@
 use rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-use crate::idempotency::claim_calls::{Call, Orphan};
+use crate::idempotency::claim_calls::{OrphanedSegment, ShardCall};
 pub use crate::idempotency::claim_calls::{
     apply_read, apply_segment_read, apply_segment_write, apply_write,
 };
 pub use crate::idempotency::claim_options::{ClaimGuards, ClaimOptions};
-use crate::idempotency::claim_paces::Pace;
-use crate::idempotency::claim_rounds::Pending;
+use crate::idempotency::claim_rate_limiters::RoundRateLimiter;
+use crate::idempotency::claim_rounds::PendingOperation;
 use crate::idempotency::claim_segments::{KeySet, Segment, SegmentName};
 use crate::idempotency::claims::{
-    ClaimKey, Fingerprint, Nonce, Outcome, ShardId, ShardRecord, UnixSeconds, Verdict,
+    ClaimDecision, ClaimKey, Fingerprint, Nonce, Outcome, ShardId, ShardRecord, UnixSeconds,
     outcome_size_bytes, shard_of_key,
 };
 
 /// `Ticket` names a wish to claim within this process.
 pub type Ticket = u64;
 
-/// `ClaimWish` asks for a key.
+/// `ClaimRequest` asks for a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ClaimWish {
+pub struct ClaimRequest {
     /// Names the wish in its answer.
     pub ticket: Ticket,
     /// The key.
@@ -74,7 +74,7 @@
         segment: Segment,
     },
     /// Delete a segment that no record names; nobody waits for the result.
-    DropSegment {
+    DeleteSegment {
         /// The shard.
         shard: ShardId,
         /// The segment.
@@ -85,7 +85,7 @@
         /// The wish.
         ticket: Ticket,
         /// What became of it.
-        verdict: Verdict,
+        decision: ClaimDecision,
     },
 }
 
@@ -117,7 +117,7 @@
     /// It had no effect, since the service was out of reach.
     NoEffect,
     /// Its answer was lost.
-    InDoubt,
+    Unconfirmed,
 }
 
 /// `SegmentReadResult` is what the read of a segment brought.
@@ -136,22 +136,22 @@
     pub(crate) shards: HashMap<ShardId, ShardQueue>,
     pub(crate) waiting_operations: usize,
     pub(crate) calls_in_flight: usize,
-    pub(crate) pace: Pace,
+    pub(crate) rate_limiter: RoundRateLimiter,
     pub(crate) random: Xoshiro256PlusPlus,
 }
 
 #[derive(Debug, Default)]
 pub(crate) struct ShardQueue {
-    pub(crate) pending: Vec<Pending>,
-    pub(crate) call: Call,
+    pub(crate) pending: Vec<PendingOperation>,
+    pub(crate) call: ShardCall,
     /// Reads of the record that have begun.
     pub(crate) reads_begun: u64,
     pub(crate) due: Timestamp,
-    pub(crate) pause: Duration,
+    pub(crate) backoff: Duration,
     /// Keys of the segments that were read.
-    pub(crate) caches: HashMap<SegmentName, KeySet>,
+    pub(crate) segment_keys: HashMap<SegmentName, KeySet>,
     /// Segments that were written and may be named by no record.
-    pub(crate) orphans: Vec<Orphan>,
+    pub(crate) orphans: Vec<OrphanedSegment>,
 }
 
 impl ClaimQueues {
@@ -163,7 +163,7 @@
             shards: HashMap::default(),
             waiting_operations: 0,
             calls_in_flight: 0,
-            pace: Pace::default(),
+            rate_limiter: RoundRateLimiter::default(),
             random,
         }
     }
@@ -186,8 +186,8 @@
             .filter(|queue| !queue.pending.is_empty())
             .flat_map(|queue| {
                 let call = if may_call { round_due(queue) } else { None };
-                let call = call.map(|due| due.max(self.pace.next_round));
-                let give_up = queue.pending.iter().filter_map(Pending::give_up_at).min();
+                let call = call.map(|due| due.max(self.rate_limiter.next_round));
+                let give_up = queue.pending.iter().filter_map(PendingOperation::deadline).min();
                 [call, give_up]
             })
             .flatten()
@@ -195,35 +195,38 @@
     }
 }
 
-/// `wish_claim` queues a wish; when too many wait it is answered at once.
+/// `request_claim` queues a wish; when too many wait it is answered at once.
 ///
 /// ```
 /// use std::time::Duration;
 /// use bergamotpitch_control::idempotency::claim_queues::{
-///     ClaimEffect, ClaimOptions, ClaimQueues, ClaimWish, run, wish_claim,
+///     ClaimEffect, ClaimOptions, ClaimQueues, ClaimRequest, request_claim, run,
 /// };
 /// use bergamotpitch_control::idempotency::claims::claim_key;
 /// let mut queues = ClaimQueues::new(ClaimOptions { shard_count: 1, ..ClaimOptions::default() });
 /// let key = claim_key("roses", "crm", "a");
-/// let wish = ClaimWish { ticket: 1, key, fingerprint: [0; 16], nonce: 7 };
+/// let request = ClaimRequest { ticket: 1, key, fingerprint: [0; 16], nonce: 7 };
 /// let mut effects = Vec::new();
-/// wish_claim(&mut queues, Duration::ZERO, 0, wish, &mut effects);
+/// request_claim(&mut queues, Duration::ZERO, 0, request, &mut effects);
 /// run(&mut queues, Duration::ZERO, &mut effects);
 /// assert_eq!(effects, [ClaimEffect::Read { shard: 0 }]);
 /// ```
-pub fn wish_claim(
+pub fn request_claim(
     queues: &mut ClaimQueues,
     now: Timestamp,
     now_s: UnixSeconds,
-    wish: ClaimWish,
+    request: ClaimRequest,
     effects: &mut Vec<ClaimEffect>,
 ) {
     if queues.options.queue_limit_operations <= queues.waiting_operations {
-        effects.push(ClaimEffect::Answer { ticket: wish.ticket, verdict: Verdict::Unavailable });
+        effects.push(ClaimEffect::Answer {
+            ticket: request.ticket,
+            decision: ClaimDecision::Unavailable,
+        });
         return;
     }
-    let pending = Pending::of_wish(wish, now, now_s, &queues.options);
-    push_pending(queues, &wish.key, pending);
+    let pending = PendingOperation::of_request(request, now, now_s, &queues.options);
+    enqueue(queues, &request.key, pending);
 }
 
 /// `record_outcome` queues the outcome of a claimed request.
@@ -234,20 +237,20 @@
     nonce: Nonce,
     outcome: Outcome,
 ) {
-    let outcome = fitting_outcome(outcome, queues.options.outcome_limit_bytes);
-    let wanted_at = now + queues.options.outcome_delay;
-    push_pending(queues, &key, Pending::of_outcome(key, nonce, outcome, wanted_at));
+    let outcome = truncate_outcome(outcome, queues.options.outcome_limit_bytes);
+    let due_at = now + queues.options.outcome_delay;
+    enqueue(queues, &key, PendingOperation::of_outcome(key, nonce, outcome, due_at));
 }
 
 /// `release_claim` queues the release of a claim whose request did not run and never will.
 ///
 /// The owner must not hand the request over after this call.
 pub fn release_claim(queues: &mut ClaimQueues, key: ClaimKey, nonce: Nonce) {
-    push_pending(queues, &key, Pending::of_release(key, nonce));
+    enqueue(queues, &key, PendingOperation::of_release(key, nonce));
 }
 
-/// `abandon_wish` gives a wish up that nobody waits for any more.
-pub fn abandon_wish(queues: &mut ClaimQueues, key: &ClaimKey, ticket: Ticket) {
+/// `abandon_request` gives a wish up that nobody waits for any more.
+pub fn abandon_request(queues: &mut ClaimQueues, key: &ClaimKey, ticket: Ticket) {
     let shard = shard_of_key(key, queues.options.shard_count);
     let releases = queues.options.guards.releases_abandoned;
     let Some(queue) = queues.shards.get_mut(&shard) else { return };
@@ -265,23 +268,23 @@
     let mut due = Vec::new();
     for (shard, queue) in &mut queues.shards {
         let count = queue.pending.len();
-        give_up_late(queue, now, releases, effects);
+        time_out_requests(queue, now, releases, effects);
         queues.waiting_operations -= count - queue.pending.len();
         if let Some(at) = round_due(queue).filter(|at| *at <= now) {
             // Callers wait for claims; nobody waits for the rest.
-            let has_wish = queue.pending.iter().any(|pending| pending.ticket().is_some());
-            due.push((!has_wish, at, *shard));
+            let has_request = queue.pending.iter().any(|pending| pending.ticket().is_some());
+            due.push((!has_request, at, *shard));
         }
     }
     due.sort_unstable();
     for (_, _, shard) in due {
         let may_call = queues.calls_in_flight < queues.options.calls_in_flight_limit;
-        if !may_call || !queues.pace.may_begin(now) {
+        if !may_call || !queues.rate_limiter.may_begin(now) {
             return;
         }
         let Some(queue) = queues.shards.get_mut(&shard) else { continue };
-        queues.pace.begin(now);
-        queue.call = Call::Reading;
+        queues.rate_limiter.begin(now);
+        queue.call = ShardCall::Reading;
         queue.reads_begun += 1;
         queues.calls_in_flight += 1;
         effects.push(ClaimEffect::Read { shard });
@@ -289,30 +292,30 @@
 }
 
 fn round_due(queue: &ShardQueue) -> Option<Timestamp> {
-    if !matches!(queue.call, Call::Idle) {
+    if !matches!(queue.call, ShardCall::Idle) {
         return None;
     }
-    let wanted = queue.pending.iter().map(|pending| pending.wanted_at).min()?;
+    let wanted = queue.pending.iter().map(|pending| pending.due_at).min()?;
     Some(wanted.max(queue.due))
 }
 
-fn give_up_late(
+fn time_out_requests(
     queue: &mut ShardQueue,
     now: Timestamp,
     releases: bool,
     effects: &mut Vec<ClaimEffect>,
 ) {
     queue.pending.retain_mut(|pending| {
-        if pending.give_up_at().is_none_or(|at| now < at) {
+        if pending.deadline().is_none_or(|at| now < at) {
             return true;
         }
         let Some(ticket) = pending.ticket() else { return true };
-        effects.push(ClaimEffect::Answer { ticket, verdict: Verdict::Unavailable });
+        effects.push(ClaimEffect::Answer { ticket, decision: ClaimDecision::Unavailable });
         pending.abandon(releases)
     });
 }
 
-fn push_pending(queues: &mut ClaimQueues, key: &ClaimKey, mut pending: Pending) {
+fn enqueue(queues: &mut ClaimQueues, key: &ClaimKey, mut pending: PendingOperation) {
     let shard = shard_of_key(key, queues.options.shard_count);
     let queue = queues.shards.entry(shard).or_default();
     pending.reads_before = queue.reads_begun;
@@ -321,7 +324,7 @@
 }
 
 // An outcome that would crowd a shard keeps its status and headers only.
-fn fitting_outcome(outcome: Outcome, limit_bytes: usize) -> Outcome {
+fn truncate_outcome(outcome: Outcome, limit_bytes: usize) -> Outcome {
     if outcome_size_bytes(&outcome) <= limit_bytes {
         return outcome;
     }
--- a/crates/bergamotpitch-control/src/idempotency/claim_rounds.rs
+++ b/crates/bergamotpitch-control/src/idempotency/claim_rounds.rs
@@ -3,30 +3,30 @@
 use bergamotpitch_core::units::Timestamp;
 
 use crate::idempotency::claim_options::ClaimOptions;
-use crate::idempotency::claim_queues::{ClaimEffect, ClaimWish, Ticket};
+use crate::idempotency::claim_queues::{ClaimEffect, ClaimRequest, Ticket};
 use crate::idempotency::claims::{
-    Claim, ClaimKey, Nonce, Outcome, ShardRecord, UnixSeconds, Verdict, claim_size_bytes,
+    Claim, ClaimDecision, ClaimKey, Nonce, Outcome, ShardRecord, UnixSeconds, claim_size_bytes,
     drop_expired, find_claim, find_own_claim, outcome_size_bytes, record_size_bytes, remove_claim,
 };
 
-/// `Pending` is an operation that is not settled.
+/// `PendingOperation` is an operation that is not settled.
 #[derive(Debug)]
-pub(crate) struct Pending {
+pub(crate) struct PendingOperation {
     operation: Operation,
     /// Where it stands in the present round.
-    pub(crate) standing: Standing,
+    pub(crate) write_state: WriteState,
     /// Index on which the last write with this operation was based whose answer was lost. That
     /// write can still take effect for as long as the record has this index.
-    doubt_index: Option<u64>,
+    unconfirmed_index: Option<u64>,
     /// Reads of the shard's record that had begun when it was queued.
     pub(crate) reads_before: u64,
     /// When it asks for a round of its own; a round that begins sooner takes it along.
-    pub(crate) wanted_at: Timestamp,
+    pub(crate) due_at: Timestamp,
 }
 
-/// `Standing` tells whether the write under way carries an operation.
+/// `WriteState` tells whether the write under way carries an operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Standing {
+pub(crate) enum WriteState {
     /// No write under way carries it.
     Waiting,
     /// The write under way carries it.
@@ -39,9 +39,9 @@
 #[derive(Debug)]
 enum Operation {
     Claim {
-        wish: ClaimWish,
+        request: ClaimRequest,
         expires_s: UnixSeconds,
-        give_up_at: Timestamp,
+        deadline: Timestamp,
         dispatch_until: Timestamp,
     },
     Record {
@@ -55,18 +55,18 @@
     },
 }
 
-impl Pending {
-    /// `of_wish` makes the operation of a wish to claim.
-    pub(crate) fn of_wish(
-        wish: ClaimWish,
+impl PendingOperation {
+    /// `of_request` makes the operation of a wish to claim.
+    pub(crate) fn of_request(
+        request: ClaimRequest,
         now: Timestamp,
         now_s: UnixSeconds,
         options: &ClaimOptions,
     ) -> Self {
         let operation = Operation::Claim {
-            wish,
+            request,
             expires_s: now_s + options.lifetime.as_secs(),
-            give_up_at: now + options.claim_timeout,
+            deadline: now + options.claim_timeout,
             dispatch_until: now + options.lifetime,
         };
         Self::waiting(operation, now)
@@ -77,9 +77,9 @@
         key: ClaimKey,
         nonce: Nonce,
         outcome: Outcome,
-        wanted_at: Timestamp,
+        due_at: Timestamp,
     ) -> Self {
-        Self::waiting(Operation::Record { key, nonce, outcome }, wanted_at)
+        Self::waiting(Operation::Record { key, nonce, outcome }, due_at)
     }
 
     /// `of_release` makes the operation that releases a claim.
@@ -87,45 +87,45 @@
         Self::waiting(Operation::Release { key, nonce }, Timestamp::ZERO)
     }
 
-    fn waiting(operation: Operation, wanted_at: Timestamp) -> Self {
+    fn waiting(operation: Operation, due_at: Timestamp) -> Self {
         Self {
             operation,
-            standing: Standing::Waiting,
-            doubt_index: None,
+            write_state: WriteState::Waiting,
+            unconfirmed_index: None,
             reads_before: 0,
-            wanted_at,
+            due_at,
         }
     }
 
     /// `ticket` names the wish; other operations have none.
     pub(crate) fn ticket(&self) -> Option<Ticket> {
         match &self.operation {
-            Operation::Claim { wish, .. } => Some(wish.ticket),
+            Operation::Claim { request, .. } => Some(request.ticket),
             Operation::Record { .. } | Operation::Release { .. } => None,
         }
     }
 
-    /// `wished_key` is the key of a wish; other operations have none.
-    pub(crate) fn wished_key(&self) -> Option<ClaimKey> {
+    /// `requested_key` is the key of a wish; other operations have none.
+    pub(crate) fn requested_key(&self) -> Option<ClaimKey> {
         match &self.operation {
-            Operation::Claim { wish, .. } => Some(wish.key),
+            Operation::Claim { request, .. } => Some(request.key),
             Operation::Record { .. } | Operation::Release { .. } => None,
         }
     }
 
-    /// `give_up_at` tells when a wish is given up; other operations are not.
-    pub(crate) fn give_up_at(&self) -> Option<Timestamp> {
+    /// `deadline` tells when a wish is given up; other operations are not.
+    pub(crate) fn deadline(&self) -> Option<Timestamp> {
         match &self.operation {
-            Operation::Claim { give_up_at, .. } => Some(*give_up_at),
+            Operation::Claim { deadline, .. } => Some(*deadline),
             Operation::Record { .. } | Operation::Release { .. } => None,
         }
     }
 
     /// `won_answer` makes the answer to a wish whose claim took effect.
     pub(crate) fn won_answer(&self) -> Option<ClaimEffect> {
-        let Operation::Claim { wish, dispatch_until, .. } = &self.operation else { return None };
-        let verdict = Verdict::Won { dispatch_until: *dispatch_until };
-        Some(ClaimEffect::Answer { ticket: wish.ticket, verdict })
+        let Operation::Claim { request, dispatch_until, .. } = &self.operation else { return None };
+        let decision = ClaimDecision::Won { dispatch_until: *dispatch_until };
+        Some(ClaimEffect::Answer { ticket: request.ticket, decision })
     }
 
     /// `abandon` gives a wish up and tells whether something of it has to stay.
@@ -134,55 +134,55 @@
     /// that the request did not run and may come back, so the claim must go: if it stayed, the
     /// caller's next try would hear "outcome unknown" of a request that never ran.
     pub(crate) fn abandon(&mut self, releases: bool) -> bool {
-        let Operation::Claim { wish, .. } = &self.operation else { return true };
-        if let Standing::InWrite { base_index } = self.standing {
-            self.doubt_index = Some(base_index);
+        let Operation::Claim { request, .. } = &self.operation else { return true };
+        if let WriteState::InWrite { base_index } = self.write_state {
+            self.unconfirmed_index = Some(base_index);
         }
-        if self.doubt_index.is_none() || !releases {
+        if self.unconfirmed_index.is_none() || !releases {
             return false;
         }
-        self.operation = Operation::Release { key: wish.key, nonce: wish.nonce };
-        self.standing = Standing::Waiting;
+        self.operation = Operation::Release { key: request.key, nonce: request.nonce };
+        self.write_state = WriteState::Waiting;
         true
     }
 
-    /// `leave_write` takes the operation out of a write that did not surely take effect.
-    pub(crate) fn leave_write(&mut self, in_doubt: bool) {
-        let Standing::InWrite { base_index } = self.standing else { return };
-        self.standing = Standing::Waiting;
-        if in_doubt {
-            self.doubt_index = Some(base_index);
+    /// `requeue` takes the operation out of a write that did not surely take effect.
+    pub(crate) fn requeue(&mut self, is_unconfirmed: bool) {
+        let WriteState::InWrite { base_index } = self.write_state else { return };
+        self.write_state = WriteState::Waiting;
+        if is_unconfirmed {
+            self.unconfirmed_index = Some(base_index);
         }
     }
 }
 
-/// `Judged` is a record that a round has changed.
+/// `UpdatedRecord` is a record that a round has changed.
 #[derive(Debug)]
-pub(crate) struct Judged {
+pub(crate) struct UpdatedRecord {
     /// The record to write.
     pub(crate) record: ShardRecord,
     /// Nonces of claims that the round adds.
     pub(crate) new_nonces: Vec<Nonce>,
 }
 
-/// `judge_record` settles what a record and the claims found in its segments show to be settled, and
+/// `apply_operations` settles what a record and the claims found in its segments show to be settled, and
 /// returns the record to write, if any operation still wants a change.
-pub(crate) fn judge_record(
-    pending: &mut Vec<Pending>,
-    seen: Seen<'_>,
+pub(crate) fn apply_operations(
+    pending: &mut Vec<PendingOperation>,
+    view: ShardView<'_>,
     now_s: UnixSeconds,
     options: &ClaimOptions,
     effects: &mut Vec<ClaimEffect>,
-) -> Option<Judged> {
-    let Seen { mut record, index, read_number, found } = seen;
-    drop_expired(&mut record, now_s, options.clock_margin.as_secs());
+) -> Option<UpdatedRecord> {
+    let ShardView { mut record, index, read_number, segment_claims } = view;
+    drop_expired(&mut record, now_s, options.max_clock_skew.as_secs());
     let size_bytes = record_size_bytes(&record);
     let new_nonces = Vec::new();
     let mut round = Round {
         record,
         index,
         read_number,
-        found,
+        segment_claims,
         now_s,
         size_bytes,
         new_nonces,
@@ -190,24 +190,24 @@
         effects,
     };
     pending.retain_mut(|pending| {
-        let judgement = judge_operation(pending, &mut round);
-        if judgement == Judgement::Write {
-            pending.standing = Standing::InWrite { base_index: index };
+        let status = apply_operation(pending, &mut round);
+        if status == OperationStatus::Write {
+            pending.write_state = WriteState::InWrite { base_index: index };
         }
-        judgement != Judgement::Settled
+        status != OperationStatus::Completed
     });
     let is_changed =
-        pending.iter().any(|pending| matches!(pending.standing, Standing::InWrite { .. }));
+        pending.iter().any(|pending| matches!(pending.write_state, WriteState::InWrite { .. }));
     if !is_changed {
         return None;
     }
     round.record.revision += 1;
-    Some(Judged { record: round.record, new_nonces: round.new_nonces })
+    Some(UpdatedRecord { record: round.record, new_nonces: round.new_nonces })
 }
 
-/// `Seen` is what a round judges by.
+/// `ShardView` is what a round judges by.
 #[derive(Debug)]
-pub(crate) struct Seen<'a> {
+pub(crate) struct ShardView<'a> {
     /// The record that was read.
     pub(crate) record: ShardRecord,
     /// Index of its last change.
@@ -215,14 +215,14 @@
     /// Number of that read among the reads of the shard's record by this router.
     pub(crate) read_number: u64,
     /// Claims on wished keys that were found in its segments.
-    pub(crate) found: &'a [Claim],
+    pub(crate) segment_claims: &'a [Claim],
 }
 
 struct Round<'a> {
     record: ShardRecord,
     index: u64,
     read_number: u64,
-    found: &'a [Claim],
+    segment_claims: &'a [Claim],
     now_s: UnixSeconds,
     size_bytes: usize,
     /// Nonces of claims that this round adds; they are not committed yet.
@@ -232,106 +232,107 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Judgement {
+enum OperationStatus {
     /// The operation has taken effect or never will.
-    Settled,
+    Completed,
     /// The operation goes into the write of this round.
     Write,
     /// The operation waits for the next round.
     Wait,
 }
 
-fn judge_operation(pending: &mut Pending, round: &mut Round<'_>) -> Judgement {
+fn apply_operation(pending: &mut PendingOperation, round: &mut Round<'_>) -> OperationStatus {
     match &pending.operation {
-        Operation::Claim { .. } => judge_claim(pending, round),
-        Operation::Record { key, nonce, outcome } => judge_outcome(key, *nonce, outcome, round),
+        Operation::Claim { .. } => apply_claim(pending, round),
+        Operation::Record { key, nonce, outcome } => apply_outcome(key, *nonce, outcome, round),
         Operation::Release { key, nonce } => {
             let (key, nonce) = (*key, *nonce);
-            judge_release(key, nonce, pending.doubt_index, round)
+            apply_release(key, nonce, pending.unconfirmed_index, round)
         }
     }
 }
 
-fn judge_claim(pending: &mut Pending, round: &mut Round<'_>) -> Judgement {
-    let Operation::Claim { wish, expires_s, .. } = &pending.operation else {
-        return Judgement::Wait;
+fn apply_claim(pending: &mut PendingOperation, round: &mut Round<'_>) -> OperationStatus {
+    let Operation::Claim { request, expires_s, .. } = &pending.operation else {
+        return OperationStatus::Wait;
     };
-    let Some(held) = find_claim(&round.record, &wish.key).or_else(|| find_moved(round, &wish.key))
+    let Some(held) =
+        find_claim(&round.record, &request.key).or_else(|| find_in_segments(round, &request.key))
     else {
-        return add_claim(*wish, *expires_s, pending, round);
+        return add_claim(*request, *expires_s, pending, round);
     };
     if round.new_nonces.contains(&held.nonce) {
         // Another wish of this round is ahead, but its claim is not committed: what is said of it
         // now could turn out wrong.
-        return Judgement::Wait;
+        return OperationStatus::Wait;
     }
-    if held.nonce == wish.nonce {
+    if held.nonce == request.nonce {
         round.effects.extend(pending.won_answer());
-        return Judgement::Settled;
+        return OperationStatus::Completed;
     }
     // The record was read before this wish came. Whoever held the key then may have released it or
     // recorded its outcome since, and the caller may know: it would be told of a state that is past.
-    if round.options.guards.reads_after_wish && round.read_number <= pending.reads_before {
-        return Judgement::Wait;
+    if round.options.guards.reads_after_request && round.read_number <= pending.reads_before {
+        return OperationStatus::Wait;
     }
-    let verdict = if held.fingerprint != wish.fingerprint {
-        Verdict::Mismatch
+    let decision = if held.fingerprint != request.fingerprint {
+        ClaimDecision::Mismatch
     } else {
-        held.outcome.clone().map_or(Verdict::OutcomeUnknown, Verdict::Answered)
+        held.outcome.clone().map_or(ClaimDecision::OutcomeUnknown, ClaimDecision::Answered)
     };
-    round.effects.push(ClaimEffect::Answer { ticket: wish.ticket, verdict });
-    Judgement::Settled
+    round.effects.push(ClaimEffect::Answer { ticket: request.ticket, decision });
+    OperationStatus::Completed
 }
 
 // A claim that was released and made again may stand in a segment twice; none of them is older than
 // the record, which goes first.
-fn find_moved<'a>(round: &Round<'a>, key: &ClaimKey) -> Option<&'a Claim> {
-    let margin_s = round.options.clock_margin.as_secs();
+fn find_in_segments<'a>(round: &Round<'a>, key: &ClaimKey) -> Option<&'a Claim> {
+    let margin_s = round.options.max_clock_skew.as_secs();
     round
-        .found
+        .segment_claims
         .iter()
         .find(|claim| claim.key == *key && round.now_s <= claim.expires_s.saturating_add(margin_s))
 }
 
 fn add_claim(
-    wish: ClaimWish,
+    request: ClaimRequest,
     expires_s: UnixSeconds,
-    pending: &mut Pending,
+    pending: &mut PendingOperation,
     round: &mut Round<'_>,
-) -> Judgement {
+) -> OperationStatus {
     let claim = Claim {
-        key: wish.key,
-        fingerprint: wish.fingerprint,
-        nonce: wish.nonce,
+        key: request.key,
+        fingerprint: request.fingerprint,
+        nonce: request.nonce,
         expires_s,
         outcome: None,
     };
     let size_bytes = claim_size_bytes(&claim);
     // A full shard takes no new claim; dropping a live one would let its request run twice.
     if round.options.shard_limit_bytes < round.size_bytes + size_bytes {
-        let verdict = Verdict::Unavailable;
-        round.effects.push(ClaimEffect::Answer { ticket: wish.ticket, verdict });
+        let decision = ClaimDecision::Unavailable;
+        round.effects.push(ClaimEffect::Answer { ticket: request.ticket, decision });
         let stays = pending.abandon(round.options.guards.releases_abandoned);
-        return if stays { Judgement::Wait } else { Judgement::Settled };
+        return if stays { OperationStatus::Wait } else { OperationStatus::Completed };
     }
     round.size_bytes += size_bytes;
-    round.new_nonces.push(wish.nonce);
+    round.new_nonces.push(request.nonce);
     round.record.claims.push(claim);
-    Judgement::Write
+    OperationStatus::Write
 }
 
-fn judge_outcome(
+fn apply_outcome(
     key: &ClaimKey,
     nonce: Nonce,
     outcome: &Outcome,
     round: &mut Round<'_>,
-) -> Judgement {
+) -> OperationStatus {
     let free_bytes = round.options.shard_limit_bytes.saturating_sub(round.size_bytes);
     let Some(claim) = find_own_claim(&mut round.record, key, nonce) else {
-        return Judgement::Settled;
+        return OperationStatus::Completed;
     };
     if claim.outcome.is_some() {
-        return Judgement::Settled;
+        return OperationStatus::Completed;
     }
     let mut outcome = outcome.clone();
     if free_bytes < outcome_size_bytes(&outcome) {
@@ -339,24 +340,25 @@
     }
     if free_bytes < outcome_size_bytes(&outcome) {
         // The claim stays without an outcome, and a second taker hears that it is unknown.
-        return Judgement::Settled;
+        return OperationStatus::Completed;
     }
     round.size_bytes += outcome_size_bytes(&outcome);
     claim.outcome = Some(outcome);
-    Judgement::Write
+    OperationStatus::Write
 }
 
-fn judge_release(
+fn apply_release(
     key: ClaimKey,
     nonce: Nonce,
-    doubt_index: Option<u64>,
+    unconfirmed_index: Option<u64>,
     round: &mut Round<'_>,
-) -> Judgement {
+) -> OperationStatus {
     if remove_claim(&mut round.record, &key, nonce) {
-        return Judgement::Write;
+        return OperationStatus::Write;
     }
     // The claim is not there, but a copy of its write may still travel and take effect while the
     // record has the index that it was based on. A write of any kind moves the index past it.
-    let can_still_land = doubt_index == Some(round.index) && round.options.guards.fences_doubtful;
-    if can_still_land { Judgement::Write } else { Judgement::Settled }
+    let may_take_effect =
+        unconfirmed_index == Some(round.index) && round.options.guards.fences_unconfirmed;
+    if may_take_effect { OperationStatus::Write } else { OperationStatus::Completed }
 }
--- a/crates/bergamotpitch-control/src/idempotency/claim_segments.rs
+++ b/crates/bergamotpitch-control/src/idempotency/claim_segments.rs
@@ -19,10 +19,10 @@
 pub(crate) const REFERENCE_SIZE_BYTES: usize = 19 + 10;
 
 /// Least part of the largest segment that is worth a segment of its own.
-const LEAST_SEGMENT_PART: usize = 2;
+const MIN_SEGMENT_DIVISOR: usize = 2;
 
 /// Age above which a claim without an outcome is moved as well.
-const UNSETTLED_AGE_S: u64 = 600;
+const INCOMPLETE_AGE_S: u64 = 600;
 
 /// `SegmentReference` is how a record names a segment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -66,43 +66,45 @@
     keys.prefixes.binary_search(&prefix_of_key(key)).is_ok()
 }
 
-/// `SegmentRound` is what one round knows of the segments of a shard.
+/// `SegmentSearch` is what one round knows of the segments of a shard.
 #[derive(Debug, Default)]
-pub(crate) struct SegmentRound {
+pub(crate) struct SegmentSearch {
     /// Segments that were read in this round.
     pub(crate) read: Vec<SegmentName>,
     /// Claims on wished keys that were found in them.
-    pub(crate) found: Vec<Claim>,
+    pub(crate) segment_claims: Vec<Claim>,
 }
 
-/// `next_segment` names a segment that has to be read before the wished keys can be judged.
-pub(crate) fn next_segment(
+/// `next_unread_segment` names a segment that has to be read before the wished keys can be judged.
+pub(crate) fn next_unread_segment(
     record: &ShardRecord,
-    caches: &HashMap<SegmentName, KeySet>,
-    round: &SegmentRound,
-    wished: &[ClaimKey],
+    segment_keys: &HashMap<SegmentName, KeySet>,
+    round: &SegmentSearch,
+    requested: &[ClaimKey],
 ) -> Option<SegmentName> {
     let needs_read = |reference: &&SegmentReference| {
         if round.read.contains(&reference.name) {
             return false;
         }
-        let Some(keys) = caches.get(&reference.name) else { return !wished.is_empty() };
-        wished.iter().any(|key| may_hold(keys, key))
+        let Some(keys) = segment_keys.get(&reference.name) else { return !requested.is_empty() };
+        requested.iter().any(|key| may_hold(keys, key))
     };
     record.segments.iter().find(needs_read).map(|reference| reference.name)
 }
 
-/// `note_segment` takes a segment that was read into the round and the caches.
-pub(crate) fn note_segment(
-    caches: &mut HashMap<SegmentName, KeySet>,
-    round: &mut SegmentRound,
+/// `add_segment` takes a segment that was read into the round and the caches.
+pub(crate) fn add_segment(
+    segment_keys: &mut HashMap<SegmentName, KeySet>,
+    round: &mut SegmentSearch,
     name: SegmentName,
     segment: Segment,
-    wished: &[ClaimKey],
+    requested: &[ClaimKey],
 ) {
-    caches.insert(name, key_set(&segment));
+    segment_keys.insert(name, key_set(&segment));
     round.read.push(name);
-    round.found.extend(segment.claims.into_iter().filter(|claim| wished.contains(&claim.key)));
+    round
+        .segment_claims
+        .extend(segment.claims.into_iter().filter(|claim| requested.contains(&claim.key)));
 }
 
 /// `split_record` moves settled claims out of a record that has grown too large, if enough of it is
@@ -118,22 +120,22 @@
     if size_bytes <= options.segment_bytes {
         return None;
     }
-    let is_settled = |claim: &Claim| {
+    let is_movable = |claim: &Claim| {
         let claimed_s = claim.expires_s.saturating_sub(options.lifetime.as_secs());
-        let is_old = claimed_s.saturating_add(UNSETTLED_AGE_S) < now_s;
+        let is_old = claimed_s.saturating_add(INCOMPLETE_AGE_S) < now_s;
         (claim.outcome.is_some() || is_old) && !new_nonces.contains(&claim.nonce)
     };
-    let (settled, rest): (Vec<Claim>, Vec<Claim>) =
-        record.claims.iter().cloned().partition(is_settled);
-    let settled_bytes: usize = settled.iter().map(claim_size_bytes).sum();
-    if settled_bytes < options.segment_bytes / LEAST_SEGMENT_PART {
+    let (moved, rest): (Vec<Claim>, Vec<Claim>) =
+        record.claims.iter().cloned().partition(is_movable);
+    let moved_bytes: usize = moved.iter().map(claim_size_bytes).sum();
+    if moved_bytes < options.segment_bytes / MIN_SEGMENT_DIVISOR {
         return None;
     }
-    let expires_s = settled.iter().map(|claim| claim.expires_s).max().unwrap_or(0);
+    let expires_s = moved.iter().map(|claim| claim.expires_s).max().unwrap_or(0);
     let mut segments = record.segments.clone();
     segments.push(SegmentReference { name, expires_s });
     let record = ShardRecord { revision: record.revision, claims: rest, segments };
-    Some((record, Segment { claims: settled }))
+    Some((record, Segment { claims: moved }))
 }
 
 fn prefix_of_key(key: &ClaimKey) -> u64 {
--- a/crates/bergamotpitch-control/src/idempotency/claims.rs
+++ b/crates/bergamotpitch-control/src/idempotency/claims.rs
@@ -79,9 +79,9 @@
     pub value: String,
 }
 
-/// `Verdict` is what became of a wish to claim a key.
+/// `ClaimDecision` is what became of a wish to claim a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ClaimDecision {
     /// The key is claimed; the request may run once, until the given time.
     Won {
         /// Time after which the request must not be handed over any more.
@@ -130,18 +130,18 @@
     number % shard_count.max(1)
 }
 
-/// `may_hand_over` tells whether a claimed request may still be sent; it is called right before.
+/// `may_dispatch` tells whether a claimed request may still be sent; it is called right before.
 ///
 /// An owner that was paused for longer than its claim's lifetime would otherwise send a request
 /// whose key another router may have claimed since.
 ///
 /// ```
 /// use std::time::Duration;
-/// use bergamotpitch_control::idempotency::claims::may_hand_over;
-/// assert!(may_hand_over(Duration::from_secs(9), Duration::from_secs(8)));
-/// assert!(!may_hand_over(Duration::from_secs(9), Duration::from_secs(9)));
+/// use bergamotpitch_control::idempotency::claims::may_dispatch;
+/// assert!(may_dispatch(Duration::from_secs(9), Duration::from_secs(8)));
+/// assert!(!may_dispatch(Duration::from_secs(9), Duration::from_secs(9)));
 /// ```
-pub fn may_hand_over(dispatch_until: Timestamp, now: Timestamp) -> bool {
+pub fn may_dispatch(dispatch_until: Timestamp, now: Timestamp) -> bool {
     now < dispatch_until
 }
 
@@ -189,8 +189,8 @@
 /// drop_expired(&mut record, 111, 10);
 /// assert_eq!(record.claims.len(), 0);
 /// ```
-pub fn drop_expired(record: &mut ShardRecord, now_s: UnixSeconds, clock_margin_s: u64) {
-    let holds = |expires_s: UnixSeconds| now_s <= expires_s.saturating_add(clock_margin_s);
+pub fn drop_expired(record: &mut ShardRecord, now_s: UnixSeconds, max_clock_skew_s: u64) {
+    let holds = |expires_s: UnixSeconds| now_s <= expires_s.saturating_add(max_clock_skew_s);
     record.claims.retain(|claim| holds(claim.expires_s));
     record.segments.retain(|segment| holds(segment.expires_s));
 }
--- a/crates/bergamotpitch-control/src/membership/gossips.rs
+++ b/crates/bergamotpitch-control/src/membership/gossips.rs
@@ -23,22 +23,22 @@
 const TIME_PER_TARGET: Duration = Duration::from_millis(80);
 
 /// Shortest time between two heartbeats when there is news.
-const URGENT_SPACING: Duration = Duration::from_millis(20);
+const MIN_HEARTBEAT_SPACING: Duration = Duration::from_millis(20);
 
 /// Heartbeats in which news is told; more than one, since each may be lost.
-const NEWS_ROUNDS: u32 = 4;
+const UPDATE_ROUNDS: u32 = 4;
 
 /// Lines of news in one heartbeat.
-const NEWS_LINES: usize = 12;
+const MAX_UPDATE_LINES: usize = 12;
 
 /// Lines of other members in one heartbeat.
-const OLDER_LINES: usize = 1;
+const REFRESH_LINES: usize = 1;
 
 /// Lines of other leaving upstreams in one heartbeat.
-const OLDER_LEAVING_LINES: usize = 4;
+const LEAVING_REFRESH_LINES: usize = 4;
 
 /// Lines of the answer to an instance that was not known.
-const WELCOME_LINES: usize = 64;
+const JOIN_REPLY_LINES: usize = 64;
 
 /// Time between two heartbeats to the relay of another domain.
 const RELAY_INTERVAL: Duration = Duration::from_secs(2);
@@ -50,16 +50,16 @@
 const RELAY_LINES: usize = 2;
 
 /// Silence of another domain after which its other members are tried.
-const RELAY_SILENCE: Duration = Duration::from_secs(7);
+const RELAY_TIMEOUT: Duration = Duration::from_secs(7);
 
 /// Time for which an instance that fell silent still gets heartbeats.
-const RECENT_TIME: Duration = Duration::from_secs(60);
+const SUSPECTED_TARGET_TIME: Duration = Duration::from_secs(60);
 
 /// Time between two heartbeats to addresses where an instance may be.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Addresses that are probed at once while no instance is known.
-const FIRST_PROBES: usize = 16;
+const ISOLATED_PROBES: usize = 16;
 
 /// `Gossip` is what this instance has to tell.
 #[derive(Debug, Default)]
@@ -69,36 +69,36 @@
     /// Addresses of the platform's list.
     pub listed: Vec<SocketAddr>,
     /// When it was last looked at who is silent.
-    pub checked: Option<Timestamp>,
+    pub last_check: Option<Timestamp>,
     /// When a domain was last heard.
     pub heard_domains: BTreeMap<DomainId, Timestamp>,
-    news: BTreeMap<InstanceId, u32>,
-    leaving_news: BTreeMap<UpstreamId, u32>,
+    member_updates: BTreeMap<InstanceId, u32>,
+    leaving_updates: BTreeMap<UpstreamId, u32>,
     is_urgent: bool,
-    next_line: usize,
-    next_relay_line: usize,
+    next_refresh: usize,
+    next_relay_refresh: usize,
     next_leaving: usize,
     next_probe: usize,
     next_relay: usize,
-    probed: Option<Timestamp>,
+    last_probe: Option<Timestamp>,
     relayed: Option<Timestamp>,
 }
 
-/// `tell` has a member's line told in the next heartbeats, the first of them at once.
-pub fn tell(tables: &mut Tables, instance: InstanceId) {
-    tables.gossip.news.insert(instance, NEWS_ROUNDS);
+/// `announce` has a member's line told in the next heartbeats, the first of them at once.
+pub fn announce(tables: &mut Tables, instance: InstanceId) {
+    tables.gossip.member_updates.insert(instance, UPDATE_ROUNDS);
     tables.gossip.is_urgent = true;
 }
 
 /// `run` sends heartbeats when they are due.
 pub fn run(tables: &mut Tables, outputs: &mut Vec<Output>) {
     for upstream in std::mem::take(&mut tables.health.untold) {
-        tables.gossip.leaving_news.insert(upstream, NEWS_ROUNDS);
+        tables.gossip.leaving_updates.insert(upstream, UPDATE_ROUNDS);
         tables.gossip.is_urgent = true;
     }
     let since = tables.heartbeat_sent.map(|sent| tables.now.saturating_sub(sent));
     let waited = |time: Duration| since.is_none_or(|since| time <= since);
-    if !waited(URGENT_SPACING) {
+    if !waited(MIN_HEARTBEAT_SPACING) {
         return;
     }
     let mut targets = successors(tables);
@@ -154,11 +154,12 @@
 fn successors(tables: &Tables) -> Vec<SocketAddr> {
     let own = tables.options.domain;
     let mut targets = successors_in(tables, &ring(tables));
-    let is_recent = |member: &Member| tables.now < member.heard + RECENT_TIME;
-    let silent = tables.members.iter().filter(|(_, member)| member.suspected);
-    let silent = silent.filter(|(_, member)| member.domain == own && is_recent(member));
+    let is_recent = |member: &Member| tables.now < member.heard + SUSPECTED_TARGET_TIME;
+    let suspected_members = tables.members.iter().filter(|(_, member)| member.suspected);
+    let suspected_members =
+        suspected_members.filter(|(_, member)| member.domain == own && is_recent(member));
     let mut wider = ring(tables);
-    wider.extend(silent.map(|(instance, _)| *instance));
+    wider.extend(suspected_members.map(|(instance, _)| *instance));
     wider.sort_unstable();
     targets.extend(successors_in(tables, &wider));
     targets.sort_unstable();
@@ -181,8 +182,8 @@
 fn relay_targets(tables: &mut Tables) -> Vec<SocketAddr> {
     let now = tables.now;
     // That an upstream leaves must be known in all domains within seconds.
-    let has_news = !tables.gossip.leaving_news.is_empty();
-    let interval = if has_news { URGENT_RELAY_INTERVAL } else { RELAY_INTERVAL };
+    let has_updates = !tables.gossip.leaving_updates.is_empty();
+    let interval = if has_updates { URGENT_RELAY_INTERVAL } else { RELAY_INTERVAL };
     if tables.gossip.relayed.is_some_and(|relayed| now < relayed + interval) {
         return Vec::new();
     }
@@ -210,9 +211,9 @@
         .collect();
     members.sort_unstable_by(|left, right| right.cmp(left));
     let heard = tables.gossip.heard_domains.get(&domain);
-    let is_silent = heard.is_none_or(|heard| *heard + RELAY_SILENCE < tables.now);
+    let is_unresponsive = heard.is_none_or(|heard| *heard + RELAY_TIMEOUT < tables.now);
     // The relay may have died together with those who would have told of it.
-    let place = if is_silent { tables.gossip.next_relay % members.len().max(1) } else { 0 };
+    let place = if is_unresponsive { tables.gossip.next_relay % members.len().max(1) } else { 0 };
     members.get(place).map(|(_, address)| *address)
 }
 
@@ -220,12 +221,13 @@
 /// without them two halves of a partition would never find each other again.
 fn probe_targets(tables: &mut Tables) -> Vec<SocketAddr> {
     let now = tables.now;
-    let is_alone = tables.members.values().all(|member| member.suspected);
-    let is_due = tables.gossip.probed.is_none_or(|probed| probed + PROBE_INTERVAL <= now);
-    if !is_alone && !is_due {
+    let is_isolated = tables.members.values().all(|member| member.suspected);
+    let is_due =
+        tables.gossip.last_probe.is_none_or(|last_probe| last_probe + PROBE_INTERVAL <= now);
+    if !is_isolated && !is_due {
         return Vec::new();
     }
-    tables.gossip.probed = Some(now);
+    tables.gossip.last_probe = Some(now);
     let live = |address: &SocketAddr| {
         tables.members.values().any(|member| !member.suspected && member.address == *address)
     };
@@ -236,7 +238,7 @@
     addresses.sort_unstable();
     addresses.dedup();
     addresses.retain(|address| !live(address));
-    let count = if is_alone { FIRST_PROBES } else { 1 };
+    let count = if is_isolated { ISOLATED_PROBES } else { 1 };
     let first = tables.gossip.next_probe;
     tables.gossip.next_probe = first.wrapping_add(count);
     let length = addresses.len();
@@ -248,22 +250,22 @@
     Heartbeat {
         version: tables.gossip.version,
         sheet_version: tables.sheet.as_ref().map_or(0, |sheet| sheet.version),
-        sheet_doubtful: tables.sheet_duty.doubt.is_some(),
-        platform_lost: tables.sheet_duty.platform_lost,
+        sheet_doubtful: tables.sheet_sync.unconfirmed.is_some(),
+        platform_lost: tables.sheet_sync.platform_lost,
         draining: tables.draining,
         leaving_upstreams: Vec::new(),
         members: Vec::new(),
     }
 }
 
-/// `welcome` is the answer to an instance that was not known: most of what this one knows.
-pub fn welcome(tables: &Tables) -> Heartbeat {
+/// `join_reply` is the answer to an instance that was not known: most of what this one knows.
+pub fn join_reply(tables: &Tables) -> Heartbeat {
     let own = tables.options.domain;
     let mut known: Vec<(&InstanceId, &Member)> =
         tables.members.iter().filter(|(_, member)| !member.suspected).collect();
     known.sort_unstable_by_key(|(instance, member)| (member.domain != own, **instance));
-    let members = known.into_iter().take(WELCOME_LINES).map(|(id, member)| line(*id, member));
-    let leaving = tables.health.leaving.keys().take(WELCOME_LINES);
+    let members = known.into_iter().take(JOIN_REPLY_LINES).map(|(id, member)| line(*id, member));
+    let leaving = tables.health.leaving.keys().take(JOIN_REPLY_LINES);
     Heartbeat {
         members: members.collect(),
         leaving_upstreams: leaving
@@ -294,7 +296,8 @@
         .filter_map(|instance| Some(line(*instance, tables.members.get(instance)?)))
         .collect();
     heartbeat.leaving_upstreams = next_leaving(tables);
-    tables.gossip.is_urgent = !tables.gossip.news.is_empty() && NEWS_LINES <= instances.len();
+    tables.gossip.is_urgent =
+        !tables.gossip.member_updates.is_empty() && MAX_UPDATE_LINES <= instances.len();
     heartbeat
 }
 
@@ -311,12 +314,12 @@
     members.sort_unstable_by_key(|(instance, _)| *instance);
     let mut lines = Vec::new();
     for _ in 0..RELAY_LINES.min(members.len()) {
-        lines.push(members[tables.gossip.next_relay_line % members.len()].1);
-        tables.gossip.next_relay_line = tables.gossip.next_relay_line.wrapping_add(1);
+        lines.push(members[tables.gossip.next_relay_refresh % members.len()].1);
+        tables.gossip.next_relay_refresh = tables.gossip.next_relay_refresh.wrapping_add(1);
     }
-    let told = tables.gossip.leaving_news.keys().copied().collect::<Vec<_>>();
-    let told = told.into_iter().chain(older_leaving(tables));
-    let leaving_upstreams = told.take(NEWS_LINES).collect::<BTreeSet<_>>();
+    let announced = tables.gossip.leaving_updates.keys().copied().collect::<Vec<_>>();
+    let announced = announced.into_iter().chain(leaving_refresh(tables));
+    let leaving_upstreams = announced.take(MAX_UPDATE_LINES).collect::<BTreeSet<_>>();
     Heartbeat {
         members: lines,
         leaving_upstreams: leaving_upstreams
@@ -328,48 +331,49 @@
 }
 
 fn next_members(tables: &mut Tables) -> Vec<InstanceId> {
-    let mut told: Vec<InstanceId> = tables.gossip.news.keys().copied().take(NEWS_LINES).collect();
-    for instance in &told {
-        count_round(&mut tables.gossip.news, instance);
+    let mut announced: Vec<InstanceId> =
+        tables.gossip.member_updates.keys().copied().take(MAX_UPDATE_LINES).collect();
+    for instance in &announced {
+        count_round(&mut tables.gossip.member_updates, instance);
     }
     let mut others: Vec<InstanceId> = tables.members.keys().copied().collect();
     others.sort_unstable();
-    for _ in 0..OLDER_LINES.min(others.len()) {
-        let instance = others[tables.gossip.next_line % others.len()];
-        tables.gossip.next_line = tables.gossip.next_line.wrapping_add(1);
-        if !told.contains(&instance) {
-            told.push(instance);
+    for _ in 0..REFRESH_LINES.min(others.len()) {
+        let instance = others[tables.gossip.next_refresh % others.len()];
+        tables.gossip.next_refresh = tables.gossip.next_refresh.wrapping_add(1);
+        if !announced.contains(&instance) {
+            announced.push(instance);
         }
     }
-    told
+    announced
 }
 
 fn next_leaving(tables: &mut Tables) -> Vec<LeavingLine> {
-    let mut told: Vec<UpstreamId> = tables.gossip.leaving_news.keys().copied().collect();
-    told.truncate(NEWS_LINES);
-    for upstream in &told {
-        count_round(&mut tables.gossip.leaving_news, upstream);
+    let mut announced: Vec<UpstreamId> = tables.gossip.leaving_updates.keys().copied().collect();
+    announced.truncate(MAX_UPDATE_LINES);
+    for upstream in &announced {
+        count_round(&mut tables.gossip.leaving_updates, upstream);
     }
-    for upstream in older_leaving(tables) {
-        if !told.contains(&upstream) {
-            told.push(upstream);
+    for upstream in leaving_refresh(tables) {
+        if !announced.contains(&upstream) {
+            announced.push(upstream);
         }
     }
-    told.into_iter().filter_map(|upstream| upstreams::leaving_line(tables, upstream)).collect()
+    announced.into_iter().filter_map(|upstream| upstreams::leaving_line(tables, upstream)).collect()
 }
 
-fn older_leaving(tables: &mut Tables) -> Vec<UpstreamId> {
+fn leaving_refresh(tables: &mut Tables) -> Vec<UpstreamId> {
     let known = upstreams::leaving(tables);
-    let count = OLDER_LEAVING_LINES.min(known.len());
+    let count = LEAVING_REFRESH_LINES.min(known.len());
     let first = tables.gossip.next_leaving;
     tables.gossip.next_leaving = first.wrapping_add(count);
     (0..count).map(|index| known[(first + index) % known.len()]).collect()
 }
 
-fn count_round(news: &mut BTreeMap<u32, u32>, id: &u32) {
-    let Some(rounds) = news.get_mut(id) else { return };
+fn count_round(member_updates: &mut BTreeMap<u32, u32>, id: &u32) {
+    let Some(rounds) = member_updates.get_mut(id) else { return };
     *rounds -= 1;
     if *rounds == 0 {
-        news.remove(id);
+        member_updates.remove(id);
     }
 }
--- a/crates/bergamotpitch-control/src/membership/paces.rs
+++ b/crates/bergamotpitch-control/src/membership/intervals.rs
@@ -8,32 +8,32 @@
 use crate::tables::Tables;
 
 /// Instances of a domain up to twice this many talk at the full pace.
-pub const FULL_PACE_INSTANCES: u32 = 8;
+pub const INSTANCES_PER_SCALE_STEP: u32 = 8;
 
 /// Slowest pace, in times of the full one. Beyond it the frontier of a home would be too old to
 /// order by.
-pub const SLOWEST_PACE: u32 = 5;
+pub const MAX_INTERVAL_SCALE: u32 = 5;
 
-/// `note_instances` counts the instances of the domain, this one included.
+/// `count_instances` counts the instances of the domain, this one included.
 ///
 /// Silent ones count too. Left out, a moment in which many are silent would shorten the timeout, and
 /// more of those that keep to the slow pace would be taken for gone.
-pub fn note_instances(tables: &mut Tables) {
+pub fn count_instances(tables: &mut Tables) {
     let own = tables.options.domain;
     let others = tables.members.values().filter(|member| member.domain == own);
     tables.domain_instances = others.count() as u32 + 1;
 }
 
-/// `slowed` is an interval of the settings at the pace of the domain.
+/// `scaled` is an interval of the settings at the pace of the domain.
 ///
 /// ```
 /// use std::time::Duration;
 /// use bergamotpitch_control::Tables;
-/// use bergamotpitch_control::membership::paces::slowed;
+/// use bergamotpitch_control::membership::intervals::scaled;
 /// let tables = Tables { domain_instances: 47, ..Tables::default() };
-/// assert_eq!(slowed(&tables, Duration::from_millis(200)), Duration::from_secs(1));
+/// assert_eq!(scaled(&tables, Duration::from_millis(200)), Duration::from_secs(1));
 /// ```
-pub fn slowed(tables: &Tables, interval: Duration) -> Duration {
-    let pace = (tables.domain_instances / FULL_PACE_INSTANCES).clamp(1, SLOWEST_PACE);
-    interval * pace
+pub fn scaled(tables: &Tables, interval: Duration) -> Duration {
+    let scale = (tables.domain_instances / INSTANCES_PER_SCALE_STEP).clamp(1, MAX_INTERVAL_SCALE);
+    interval * scale
 }
--- a/crates/bergamotpitch-control/src/membership/members.rs
+++ b/crates/bergamotpitch-control/src/membership/members.rs
@@ -12,7 +12,7 @@
 use bergamotpitch_core::units::Timestamp;
 
 use crate::capacity::upstreams;
-use crate::configuration::sheet_duties;
+use crate::configuration::sheet_syncs;
 use crate::inputs::{ListedInstance, Sender};
 use crate::membership::gossips;
 use crate::messages::{Heartbeat, MemberLine, Message};
@@ -20,30 +20,30 @@
 use crate::tables::{Member, Tables};
 
 /// Time for which an instance that is gone is still asked for.
-const GONE_MEMORY: Duration = Duration::from_secs(900);
+const SUSPECTED_RETENTION: Duration = Duration::from_secs(900);
 
 /// Instances that are gone and still asked for, at most.
-const GONE_LIMIT: usize = 256;
+const MAX_SUSPECTED_MEMBERS: usize = 256;
 
 /// Time after which an instance of another domain of which nothing is heard is forgotten.
-const UNHEARD_MEMORY: Duration = Duration::from_secs(600);
+const UNSEEN_RETENTION: Duration = Duration::from_secs(600);
 
 /// Time between two looks at who is silent; a step for each message would spend itself on it.
-const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+const SUSPICION_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Doublings of the timeout of an instance that contradicted its end.
-const PATIENCE_LIMIT: u32 = 5;
+const MAX_TIMEOUT_DOUBLINGS: u32 = 5;
 
 /// `MemberGuards` are the rules that a proof switches off; all are on by default.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberGuards {
     /// What others say of an instance of the domain counts, not only what is heard here.
-    pub believes_others: bool,
+    pub accepts_peer_reports: bool,
 }
 
 impl Default for MemberGuards {
     fn default() -> Self {
-        Self { believes_others: true }
+        Self { accepts_peer_reports: true }
     }
 }
 
@@ -69,27 +69,27 @@
     if known.is_some_and(|member| sender.incarnation < member.incarnation) {
         return;
     }
-    note_sender(tables, sender, &heartbeat, outputs);
+    record_sender(tables, sender, &heartbeat, outputs);
     tables.gossip.heard_domains.insert(sender.domain, tables.now);
     for line in &heartbeat.members {
         apply_line(tables, line, outputs);
     }
     upstreams::apply_leaving_lines(tables, &heartbeat.leaving_upstreams, outputs);
-    sheet_duties::apply_heartbeat(tables, sender, &heartbeat, outputs);
+    sheet_syncs::apply_heartbeat(tables, sender, &heartbeat, outputs);
 }
 
-fn note_sender(
+fn record_sender(
     tables: &mut Tables,
     sender: Sender,
     heartbeat: &Heartbeat,
     outputs: &mut Vec<Output>,
 ) {
     let known = tables.members.get(&sender.instance);
-    let same_life = known.filter(|member| member.incarnation == sender.incarnation);
-    let is_new = same_life.is_none();
-    let was_gone = same_life.is_some_and(|member| member.suspected);
-    let version = same_life.map_or(0, |member| member.version).max(heartbeat.version);
-    let has_news = same_life.is_none_or(|member| {
+    let same_incarnation = known.filter(|member| member.incarnation == sender.incarnation);
+    let is_new = same_incarnation.is_none();
+    let was_gone = same_incarnation.is_some_and(|member| member.suspected);
+    let version = same_incarnation.map_or(0, |member| member.version).max(heartbeat.version);
+    let has_updates = same_incarnation.is_none_or(|member| {
         member.suspected || member.version < version || member.draining != heartbeat.draining
     });
     let member = Member {
@@ -101,7 +101,7 @@
         suspected: false,
         draining: heartbeat.draining,
         version,
-        patience: same_life.map_or(0, |member| member.patience),
+        patience: same_incarnation.map_or(0, |member| member.patience),
     };
     if was_gone && heartbeat.version <= version {
         // Others hold it for gone as well. It learns so from this line, raises its version, and is
@@ -111,22 +111,22 @@
         outputs.push(Output::Send { to: sender.address, message: Message::Heartbeat(heartbeat) });
     }
     tables.members.insert(sender.instance, member);
-    if has_news {
-        gossips::tell(tables, sender.instance);
+    if has_updates {
+        gossips::announce(tables, sender.instance);
     }
     if is_new || was_gone {
         emit(EventKind::PeerJoined, sender.instance, outputs);
     }
     if is_new {
-        let message = Message::Heartbeat(gossips::welcome(tables));
+        let message = Message::Heartbeat(gossips::join_reply(tables));
         outputs.push(Output::Send { to: sender.address, message });
     }
 }
 
 fn apply_line(tables: &mut Tables, line: &MemberLine, outputs: &mut Vec<Output>) {
     if line.instance == tables.options.instance {
-        let is_own_life = line.incarnation == tables.options.incarnation;
-        if is_own_life && line.gone && tables.gossip.version <= line.version {
+        let is_own_incarnation = line.incarnation == tables.options.incarnation;
+        if is_own_incarnation && line.gone && tables.gossip.version <= line.version {
             tables.gossip.version = line.version + 1;
             tables.heartbeat_sent = None;
         }
@@ -135,29 +135,29 @@
     let now = tables.now;
     let Some(known) = tables.members.get_mut(&line.instance) else {
         if !line.gone {
-            add_told(tables, line, outputs);
+            add_reported_member(tables, line, outputs);
         }
         return;
     };
     let order = |incarnation, version, gone: bool| (incarnation, version, gone);
-    let told = order(line.incarnation, line.version, line.gone);
-    let held = order(known.incarnation, known.version, known.suspected);
-    if told == held && !line.gone {
+    let reported = order(line.incarnation, line.version, line.gone);
+    let current = order(known.incarnation, known.version, known.suspected);
+    if reported == current && !line.gone {
         known.heard = now;
     }
-    if told <= held {
+    if reported <= current {
         return;
     }
     if known.incarnation < line.incarnation {
         if !line.gone {
-            add_told(tables, line, outputs);
+            add_reported_member(tables, line, outputs);
         }
         return;
     }
     let was_gone = known.suspected;
     // An instance that cannot hear its home would otherwise take the duty itself, for as long as a
     // link is cut one way, although all others hear both.
-    if known.domain == tables.options.domain && !tables.options.member_guards.believes_others {
+    if known.domain == tables.options.domain && !tables.options.member_guards.accepts_peer_reports {
         return;
     }
     known.version = line.version;
@@ -166,16 +166,16 @@
     known.heard = now;
     known.direct = None;
     if was_gone && !line.gone {
-        known.patience = (known.patience + 1).min(PATIENCE_LIMIT);
+        known.patience = (known.patience + 1).min(MAX_TIMEOUT_DOUBLINGS);
     }
-    gossips::tell(tables, line.instance);
+    gossips::announce(tables, line.instance);
     if was_gone != line.gone {
         let kind = if line.gone { EventKind::PeerSuspected } else { EventKind::PeerJoined };
         emit(kind, line.instance, outputs);
     }
 }
 
-fn add_told(tables: &mut Tables, line: &MemberLine, outputs: &mut Vec<Output>) {
+fn add_reported_member(tables: &mut Tables, line: &MemberLine, outputs: &mut Vec<Output>) {
     let member = Member {
         incarnation: line.incarnation,
         domain: line.domain,
@@ -188,69 +188,72 @@
         patience: 0,
     };
     tables.members.insert(line.instance, member);
-    gossips::tell(tables, line.instance);
+    gossips::announce(tables, line.instance);
     emit(EventKind::PeerJoined, line.instance, outputs);
 }
 
 /// `run` suspects silent peers, forgets those that are long gone, and sends heartbeats.
 pub fn run(tables: &mut Tables, outputs: &mut Vec<Output>) {
-    let is_due = tables.gossip.checked.is_none_or(|at| at + CHECK_INTERVAL <= tables.now);
+    let is_due =
+        tables.gossip.last_check.is_none_or(|at| at + SUSPICION_CHECK_INTERVAL <= tables.now);
     if is_due {
-        tables.gossip.checked = Some(tables.now);
-        suspect_silent_members(tables, outputs);
-        forget_members(tables);
+        tables.gossip.last_check = Some(tables.now);
+        suspect_unresponsive_members(tables, outputs);
+        evict_members(tables);
     }
     gossips::run(tables, outputs);
 }
 
 /// An instance is watched by those to which it should send: its predecessors in the ring are watched
 /// here. One that was only told of is watched from now on.
-fn suspect_silent_members(tables: &mut Tables, outputs: &mut Vec<Output>) {
+fn suspect_unresponsive_members(tables: &mut Tables, outputs: &mut Vec<Output>) {
     let ring = gossips::ring(tables);
     let timeout = gossips::timeout(tables, ring.len());
     let Ok(own) = ring.binary_search(&tables.options.instance) else { return };
     let now = tables.now;
-    let mut silent = Vec::new();
+    let mut unresponsive = Vec::new();
     let mut distance = 1;
     while distance < ring.len() {
         let instance = ring[(own + ring.len() - distance) % ring.len()];
         distance *= 2;
         let Some(member) = tables.members.get_mut(&instance) else { continue };
         let direct = *member.direct.get_or_insert(now);
-        if is_silent(direct, now, timeout * 2_u32.pow(member.patience)) {
+        if has_timed_out(direct, now, timeout * 2_u32.pow(member.patience)) {
             member.suspected = true;
             member.direct = None;
-            silent.push(instance);
+            unresponsive.push(instance);
         }
     }
-    for instance in silent {
-        gossips::tell(tables, instance);
+    for instance in unresponsive {
+        gossips::announce(tables, instance);
         emit(EventKind::PeerSuspected, instance, outputs);
     }
 }
 
-fn is_silent(direct: Timestamp, now: Timestamp, timeout: Duration) -> bool {
+fn has_timed_out(direct: Timestamp, now: Timestamp, timeout: Duration) -> bool {
     direct + timeout < now
 }
 
 /// Without this the table, and the addresses that are asked, would grow with every instance that was
 /// ever replaced.
-fn forget_members(tables: &mut Tables) {
+fn evict_members(tables: &mut Tables) {
     let now = tables.now;
     let own = tables.options.domain;
-    let heard = tables.members.values().filter(|member| now < member.heard + UNHEARD_MEMORY);
+    let heard = tables.members.values().filter(|member| now < member.heard + UNSEEN_RETENTION);
     let heard_domains: BTreeSet<DomainId> = heard.map(|member| member.domain).collect();
     // A domain of which nobody is heard may only be cut off. Forgotten on both sides, two domains
     // would go on as two fleets after the link is mended, until the platform's list is read again.
     tables.members.retain(|_, member| {
-        let memory = if member.suspected { GONE_MEMORY } else { UNHEARD_MEMORY };
-        let is_cut_off = member.domain != own && !heard_domains.contains(&member.domain);
-        member.domain == own && !member.suspected || now < member.heard + memory || is_cut_off
+        let retention = if member.suspected { SUSPECTED_RETENTION } else { UNSEEN_RETENTION };
+        let is_partitioned = member.domain != own && !heard_domains.contains(&member.domain);
+        member.domain == own && !member.suspected
+            || now < member.heard + retention
+            || is_partitioned
     });
     let members = &tables.members;
-    tables.sheet_duty.offers.retain(|instance, _| members.contains_key(instance));
+    tables.sheet_sync.offers.retain(|instance, _| members.contains_key(instance));
     let gone = tables.members.values().filter(|member| member.suspected).count();
-    if gone <= GONE_LIMIT {
+    if gone <= MAX_SUSPECTED_MEMBERS {
         return;
     }
     let mut oldest: Vec<(Timestamp, InstanceId)> = tables
@@ -260,7 +263,7 @@
         .map(|(instance, member)| (member.heard, *instance))
         .collect();
     oldest.sort_unstable();
-    for (_, instance) in oldest.into_iter().take(gone - GONE_LIMIT) {
+    for (_, instance) in oldest.into_iter().take(gone - MAX_SUSPECTED_MEMBERS) {
         tables.members.remove(&instance);
     }
 }
--- a/crates/bergamotpitch-control/src/steps.rs
+++ b/crates/bergamotpitch-control/src/steps.rs
@@ -5,7 +5,7 @@
 
 use crate::admission::{dispatches, requests};
 use crate::capacity::{upstreams, windows};
-use crate::configuration::{platforms, sheet_duties, sheet_indexes, sheets};
+use crate::configuration::{platforms, sheet_indexes, sheet_syncs, sheets};
 use crate::fairness::{detours, domain_reports, leases, shares};
 use crate::inputs::Input;
 use crate::membership::members;
@@ -26,12 +26,12 @@
 /// ```
 pub fn step(tables: &mut Tables, now: Timestamp, inputs: Vec<Input>) -> Vec<Output> {
     let mut outputs = Vec::new();
-    sheet_duties::note_time(tables, now);
+    sheet_syncs::detect_pause(tables, now);
     tables.now = tables.now.max(now);
     for input in inputs {
         apply_input(tables, input, &mut outputs);
     }
-    sheet_duties::run(tables, &mut outputs);
+    sheet_syncs::run(tables, &mut outputs);
     members::run(tables, &mut outputs);
     upstreams::run(tables, &mut outputs);
     requests::run(tables, &mut outputs);
@@ -79,7 +79,7 @@
             members::apply_list(tables, &list);
         }
         Input::SheetLearned(sheet) => {
-            sheet_duties::note_confirmation(tables, sheet.version);
+            sheet_syncs::record_confirmation(tables, sheet.version);
             sheets::apply_sheet(tables, sheet, outputs);
         }
         Input::PeerSheetLearned(sheet) => sheets::apply_sheet(tables, sheet, outputs),
--- a/crates/bergamotpitch-control/src/tables.rs
+++ b/crates/bergamotpitch-control/src/tables.rs
@@ -17,8 +17,8 @@
 use crate::admission::limits::Limits;
 use crate::capacity::upstreams::HealthTable;
 use crate::capacity::windows::Window;
-use crate::configuration::sheet_duties::{SheetDuty, SheetGuards};
 use crate::configuration::sheet_indexes::SheetIndex;
+use crate::configuration::sheet_syncs::{SheetGuards, SheetSync};
 use crate::fairness::accounts::Estimate;
 use crate::fairness::homes::Home;
 use crate::fairness::leases::Leases;
@@ -117,7 +117,7 @@
     /// Sheet in force.
     pub sheet: Option<Arc<AcceptedSheet>>,
     /// What is known of where sheets are.
-    pub sheet_duty: SheetDuty,
+    pub sheet_sync: SheetSync,
     /// True once this instance is leaving.
     pub draining: bool,
     /// Time from which a leaving instance takes no requests in.
--- a/crates/bergamotpitch-control/tests/gone_members.rs
+++ b/crates/bergamotpitch-control/tests/gone_members.rs
@@ -22,7 +22,7 @@
             let name = 10 + day * 1_000 + number;
             let domain = if number % 2 == 0 { OWN_DOMAIN } else { FAR_DOMAIN };
             now += Duration::from_secs(144);
-            live_on(&mut tables, now, vec![heard(name, domain)]);
+            step_with_live_members(&mut tables, now, vec![heartbeat_from(name, domain)]);
         }
     }
     let live = 6;
@@ -41,20 +41,20 @@
         |domain: &u32| (1..5).max_by_key(|instance| weight(*instance, *domain)) == Some(1);
     let lost: Vec<u32> = (50..90).filter(is_relayed_here).collect();
     assert!(!lost.is_empty());
-    step(&mut tables, now, lost.iter().map(|number| heard(*number, *number)).collect());
+    step(&mut tables, now, lost.iter().map(|number| heartbeat_from(*number, *number)).collect());
     let is_lost = |to: &SocketAddr| lost.iter().any(|number| *to == address(*number));
-    let mut greeted = 0;
+    let mut sent_to_lost = 0;
     while now < Duration::from_secs(7_200) {
         now += Duration::from_secs(1);
-        let outputs = live_on(&mut tables, now, Vec::new());
+        let outputs = step_with_live_members(&mut tables, now, Vec::new());
         if Duration::from_secs(7_000) < now {
-            let greets =
+            let is_sent_to_lost =
                 |output: &&Output| matches!(output, Output::Send { to, .. } if is_lost(to));
-            greeted += outputs.iter().filter(greets).count();
+            sent_to_lost += outputs.iter().filter(is_sent_to_lost).count();
         }
     }
     assert!(lost.iter().all(|number| tables.members.contains_key(number)));
-    assert!(0 < greeted, "the lost domain was not greeted at the end");
+    assert!(0 < sent_to_lost, "the lost domain was not greeted at the end");
 }
 
 fn tables() -> Tables {
@@ -63,13 +63,17 @@
 }
 
 // Three instances of each of two domains live on; the step that takes them in follows at once.
-fn live_on(tables: &mut Tables, now: Duration, mut inputs: Vec<Input>) -> Vec<Output> {
-    inputs.extend((2..5).map(|number| heard(number, OWN_DOMAIN)));
-    inputs.extend((5..8).map(|number| heard(number, FAR_DOMAIN)));
+fn step_with_live_members(
+    tables: &mut Tables,
+    now: Duration,
+    mut inputs: Vec<Input>,
+) -> Vec<Output> {
+    inputs.extend((2..5).map(|number| heartbeat_from(number, OWN_DOMAIN)));
+    inputs.extend((5..8).map(|number| heartbeat_from(number, FAR_DOMAIN)));
     step(tables, now, inputs)
 }
 
-fn heard(number: u32, domain: u32) -> Input {
+fn heartbeat_from(number: u32, domain: u32) -> Input {
     let sender = Sender { instance: number, incarnation: 1, domain, address: address(number) };
     Input::Received { sender, message: Message::Heartbeat(Heartbeat::default()) }
 }
--- a/crates/bergamotpitch-control/tests/member_gossip.rs
+++ b/crates/bergamotpitch-control/tests/member_gossip.rs
@@ -16,7 +16,7 @@
 /// `Net` passes messages between control states, each one step late.
 struct Net {
     states: BTreeMap<u32, Tables>,
-    on_way: Vec<(u32, Input)>,
+    in_transit: Vec<(u32, Input)>,
     cuts: HashSet<(u32, u32)>,
     now: Duration,
     sent_bytes: BTreeMap<u32, usize>,
@@ -42,7 +42,7 @@
             .collect();
         Self {
             states,
-            on_way: Vec::new(),
+            in_transit: Vec::new(),
             cuts: HashSet::new(),
             now: Duration::ZERO,
             sent_bytes: BTreeMap::new(),
@@ -54,7 +54,7 @@
         while self.now < until {
             self.now += STEP;
             let mut inputs: BTreeMap<u32, Vec<Input>> = BTreeMap::new();
-            for (to, input) in std::mem::take(&mut self.on_way) {
+            for (to, input) in std::mem::take(&mut self.in_transit) {
                 inputs.entry(to).or_default().push(input);
             }
             for (instance, tables) in &mut self.states {
@@ -72,7 +72,7 @@
                     *self.sent_bytes.entry(*instance).or_default() += size + OVERHEAD_BYTES;
                     let to = u32::from(to.port()) - 1_000;
                     if !self.cuts.contains(&(*instance, to)) {
-                        self.on_way.push((to, Input::Received { sender, message }));
+                        self.in_transit.push((to, Input::Received { sender, message }));
                     }
                 }
             }
@@ -147,7 +147,7 @@
 /// The relays of both ends die in the same moment. Each domain's next relay sends to the one that it
 /// knows at the other end, which is dead, and neither end could tell the other of it.
 #[test]
-fn both_relays() {
+fn both_relays_fail() {
     let instances = [domain(100, 3), domain(200, 3)].concat();
     let mut net = Net::new(&instances);
     net.run(Duration::from_secs(10));
@@ -164,7 +164,7 @@
 /// A domain falls into two halves for longer than any timeout, and there is neither list nor
 /// platform to bring them together. Each half must take the other for gone and find it again.
 #[test]
-fn halves_rejoin() {
+fn partition_heals() {
     let instances = domain(100, 6);
     let (left, right) = (domain(100, 3), domain(103, 3));
     let mut net = Net::new(&instances);
@@ -184,13 +184,13 @@
 /// be taken for gone; that one of them is deaf must not make the others doubt each other; and when
 /// the link is whole again, all must agree.
 #[test]
-fn one_way() {
+fn one_way_partition() {
     let instances = domain(100, 4);
     let others = domain(101, 3);
-    for deaf in [false, true] {
+    for cannot_receive in [false, true] {
         let mut net = Net::new(&instances);
         net.run(Duration::from_secs(5));
-        if deaf {
+        if cannot_receive {
             net.cut(&others, &[100]);
         } else {
             net.cut(&[100], &others);
@@ -200,7 +200,7 @@
             let live = net.live(*other);
             let expected: Vec<u32> = others.iter().copied().filter(|one| one != other).collect();
             assert!(expected.iter().all(|one| live.contains(one)), "{other} sees {live:?}");
-            assert!(deaf || !live.contains(&100), "{other} sees {live:?}");
+            assert!(cannot_receive || !live.contains(&100), "{other} sees {live:?}");
         }
         net.cuts.clear();
         net.run(Duration::from_secs(40));
@@ -217,9 +217,9 @@
     net.run(Duration::from_secs(15));
     // A rollout is under way, so that this one is not the only mark that travels.
     let others = (1_000..1_100).map(|upstream| (117, Input::UpstreamLeaving { upstream }));
-    net.on_way.extend(others);
+    net.in_transit.extend(others);
     net.run(Duration::from_secs(10));
-    net.on_way.push((117, Input::UpstreamLeaving { upstream: 9 }));
+    net.in_transit.push((117, Input::UpstreamLeaving { upstream: 9 }));
     net.run(Duration::from_millis(2_500));
     let unaware: Vec<u32> = net
         .states
@@ -246,7 +246,7 @@
         leaving: false,
     };
     let list: Vec<ListedInstance> = [100, 101, 150, 180, 190].map(listed).to_vec();
-    net.on_way.push((101, Input::Listed(list)));
+    net.in_transit.push((101, Input::Listed(list)));
     net.run(Duration::from_secs(10));
     net.assert_live(&[100, 101, 102, 150]);
 }
--- a/crates/bergamotpitch-platform/src/claim_calls.rs
+++ b/crates/bergamotpitch-platform/src/claim_calls.rs
@@ -72,7 +72,7 @@
         Error::RateLimited => WriteResult::RateLimited,
         Error::Unreachable { .. } | Error::TooLarge { .. } => WriteResult::NoEffect,
         Error::LostAnswer { .. } | Error::Malformed { .. } | Error::Sheet(_) => {
-            WriteResult::InDoubt
+            WriteResult::Unconfirmed
         }
     }
 }
--- a/crates/bergamotpitch-platform/src/claims.rs
+++ b/crates/bergamotpitch-platform/src/claims.rs
@@ -8,13 +8,13 @@
 use std::time::Duration;
 
 use bergamotpitch_control::idempotency::claim_queues::{
-    ClaimEffect, ClaimOptions, ClaimQueues, ClaimWish, ReadResult, SegmentReadResult, Ticket,
-    WriteResult, abandon_wish, apply_read, apply_segment_read, apply_segment_write, apply_write,
-    record_outcome, release_claim, run, wish_claim,
+    ClaimEffect, ClaimOptions, ClaimQueues, ClaimRequest, ReadResult, SegmentReadResult, Ticket,
+    WriteResult, abandon_request, apply_read, apply_segment_read, apply_segment_write, apply_write,
+    record_outcome, release_claim, request_claim, run,
 };
 use bergamotpitch_control::idempotency::claim_segments::SegmentName;
 use bergamotpitch_control::idempotency::claims::{
-    ClaimKey, Fingerprint, Nonce, Outcome, ShardId, Verdict, may_hand_over,
+    ClaimDecision, ClaimKey, Fingerprint, Nonce, Outcome, ShardId, may_dispatch,
 };
 use bergamotpitch_core::HashMap;
 use tokio::sync::{mpsc, oneshot};
@@ -52,7 +52,7 @@
 // router, and those are bounded.
 #[derive(Debug)]
 enum Command {
-    Claim { wish: ClaimWish, reply: oneshot::Sender<Verdict> },
+    Claim { wish: ClaimRequest, reply: oneshot::Sender<ClaimDecision> },
     Abandon { key: ClaimKey, ticket: Ticket },
     Record { key: ClaimKey, nonce: Nonce, outcome: Outcome },
     Release { key: ClaimKey, nonce: Nonce },
@@ -91,22 +91,22 @@
     /// ```
     pub async fn claim(&self, key: ClaimKey, fingerprint: Fingerprint) -> ClaimResult {
         let ticket = self.next_ticket.fetch_add(1, Ordering::Relaxed);
-        let wish = ClaimWish { ticket, key, fingerprint, nonce: fresh_number() };
-        let (reply, verdict) = oneshot::channel();
+        let wish = ClaimRequest { ticket, key, fingerprint, nonce: fresh_number() };
+        let (reply, decision) = oneshot::channel();
         if self.commands.send(Command::Claim { wish, reply }).is_err() {
             return ClaimResult::Unavailable;
         }
         let mut waiter = Waiter { commands: &self.commands, wish, is_waiting: true };
-        let verdict = verdict.await;
+        let decision = decision.await;
         waiter.is_waiting = false;
-        match verdict {
-            Ok(Verdict::Won { dispatch_until }) => {
+        match decision {
+            Ok(ClaimDecision::Won { dispatch_until }) => {
                 ClaimResult::Won(self.token(wish, dispatch_until))
             }
-            Ok(Verdict::Answered(outcome)) => ClaimResult::Answered(outcome),
-            Ok(Verdict::OutcomeUnknown) => ClaimResult::OutcomeUnknown,
-            Ok(Verdict::Mismatch) => ClaimResult::Mismatch,
-            Ok(Verdict::Unavailable) | Err(_) => ClaimResult::Unavailable,
+            Ok(ClaimDecision::Answered(outcome)) => ClaimResult::Answered(outcome),
+            Ok(ClaimDecision::OutcomeUnknown) => ClaimResult::OutcomeUnknown,
+            Ok(ClaimDecision::Mismatch) => ClaimResult::Mismatch,
+            Ok(ClaimDecision::Unavailable) | Err(_) => ClaimResult::Unavailable,
         }
     }
 
@@ -120,7 +120,7 @@
         self.task.abort();
     }
 
-    fn token(&self, wish: ClaimWish, dispatch_until: Duration) -> ClaimToken {
+    fn token(&self, wish: ClaimRequest, dispatch_until: Duration) -> ClaimToken {
         let commands = self.commands.clone();
         ClaimToken { claim: Some(Held { commands, wish, dispatch_until }) }
     }
@@ -129,7 +129,7 @@
 #[derive(Debug)]
 struct Held {
     commands: mpsc::UnboundedSender<Command>,
-    wish: ClaimWish,
+    wish: ClaimRequest,
     dispatch_until: Duration,
 }
 
@@ -162,14 +162,14 @@
     /// whose key another router may have claimed since.
     pub fn hand_over(mut self) -> Option<HandedOver> {
         let claim = self.claim.take()?;
-        may_hand_over(claim.dispatch_until, process_time()).then_some(HandedOver { claim })
+        may_dispatch(claim.dispatch_until, process_time()).then_some(HandedOver { claim })
     }
 }
 
 impl Drop for ClaimToken {
     fn drop(&mut self) {
         let Some(claim) = self.claim.take() else { return };
-        let ClaimWish { key, nonce, .. } = claim.wish;
+        let ClaimRequest { key, nonce, .. } = claim.wish;
         let _ = claim.commands.send(Command::Release { key, nonce });
     }
 }
@@ -183,7 +183,7 @@
 impl HandedOver {
     /// `record` notes what the request was answered with, for whoever uses the key next.
     pub fn record(self, outcome: Outcome) {
-        let ClaimWish { key, nonce, .. } = self.claim.wish;
+        let ClaimRequest { key, nonce, .. } = self.claim.wish;
         let _ = self.claim.commands.send(Command::Record { key, nonce, outcome });
     }
 
@@ -198,14 +198,14 @@
 // its next try would hear "outcome unknown" of a request that never ran.
 struct Waiter<'a> {
     commands: &'a mpsc::UnboundedSender<Command>,
-    wish: ClaimWish,
+    wish: ClaimRequest,
     is_waiting: bool,
 }
 
 impl Drop for Waiter<'_> {
     fn drop(&mut self) {
         if self.is_waiting {
-            let ClaimWish { key, ticket, nonce, .. } = self.wish;
+            let ClaimRequest { key, ticket, nonce, .. } = self.wish;
             let _ = self.commands.send(Command::Abandon { key, ticket });
             // The claim may have been won just before; the release finds it by its nonce.
             let _ = self.commands.send(Command::Release { key, nonce });
@@ -216,7 +216,7 @@
 struct Writer {
     platform: Platform,
     queues: ClaimQueues,
-    replies: HashMap<Ticket, oneshot::Sender<Verdict>>,
+    replies: HashMap<Ticket, oneshot::Sender<ClaimDecision>>,
     calls: JoinSet<CallResult>,
     closing: Option<oneshot::Sender<()>>,
 }
@@ -276,11 +276,11 @@
     match command {
         Command::Claim { wish, reply } => {
             writer.replies.insert(wish.ticket, reply);
-            wish_claim(&mut writer.queues, process_time(), unix_seconds(), wish, effects);
+            request_claim(&mut writer.queues, process_time(), unix_seconds(), wish, effects);
         }
         Command::Abandon { key, ticket } => {
             writer.replies.remove(&ticket);
-            abandon_wish(&mut writer.queues, &key, ticket);
+            abandon_request(&mut writer.queues, &key, ticket);
         }
         Command::Record { key, nonce, outcome } => {
             record_outcome(&mut writer.queues, process_time(), key, nonce, outcome);
@@ -341,7 +341,7 @@
                     CallResult::WroteSegment(shard, result)
                 });
             }
-            ClaimEffect::DropSegment { shard, name } => {
+            ClaimEffect::DeleteSegment { shard, name } => {
                 let platform = writer.platform.clone();
                 writer.calls.spawn(async move {
                     // A segment that stays is never read again and only takes up room.
@@ -351,10 +351,10 @@
                     CallResult::Dropped
                 });
             }
-            ClaimEffect::Answer { ticket, verdict } => {
+            ClaimEffect::Answer { ticket, decision } => {
                 let Some(reply) = writer.replies.remove(&ticket) else { continue };
                 // Whoever waited is gone when this fails; its waiter releases the claim.
-                let _ = reply.send(verdict);
+                let _ = reply.send(decision);
             }
         }
     }
--- a/crates/bergamotpitch-platform/src/orders.rs
+++ b/crates/bergamotpitch-platform/src/orders.rs
@@ -7,8 +7,8 @@
     LeaseEffect, LeaseEvent, OrderGuards, apply_lease_event, lock_effect,
 };
 use bergamotpitch_control::engine_orders::orders::{
-    Order, OrderDuty, OrderEffect, OrderEnd, OrderOptions, WantedModel, apply_order_end, may_send,
-    run, set_candidate, set_domain_count, set_wanted,
+    Order, OrderEffect, OrderOptions, OrderResult, OrderScheduler, WantedModel, apply_order_result,
+    may_send, run, set_candidate, set_domain_count, set_wanted,
 };
 use bergamotpitch_core::HashMap;
 use bergamotpitch_core::ids::UpstreamId;
@@ -71,7 +71,7 @@
         /// The model.
         model: String,
         /// How it ended.
-        end: OrderEnd,
+        end: OrderResult,
     },
 }
 
@@ -113,10 +113,10 @@
 type Notify = Box<dyn Fn(OrderNotice) + Send + Sync>;
 
 struct Driver {
-    duty: OrderDuty,
+    duty: OrderScheduler,
     addresses: HashMap<UpstreamId, SocketAddr>,
     lease_calls: mpsc::UnboundedSender<LeaseEffect>,
-    orders: JoinSet<(Order, OrderEnd)>,
+    orders: JoinSet<(Order, OrderResult)>,
     notify: Notify,
 }
 
@@ -130,7 +130,7 @@
     let (lease_calls, calls) = mpsc::unbounded_channel();
     let (results, mut lease_events) = mpsc::unbounded_channel();
     let caller = tokio::spawn(make_lease_calls(platform, key, options.lease_ttl, calls, results));
-    let duty = OrderDuty::new(options);
+    let duty = OrderScheduler::new(options);
     let addresses = HashMap::default();
     let orders = JoinSet::new();
     let mut driver = Driver { duty, addresses, lease_calls, orders, notify };
@@ -176,9 +176,9 @@
     note_lease(driver, held);
 }
 
-fn take_end(driver: &mut Driver, order: Order, end: OrderEnd) {
+fn take_end(driver: &mut Driver, order: Order, end: OrderResult) {
     let held = driver.duty.fencing();
-    apply_order_end(&mut driver.duty, process_time(), order.upstream, end);
+    apply_order_result(&mut driver.duty, process_time(), order.upstream, end);
     let Order { upstream, model, .. } = order;
     (driver.notify)(OrderNotice::OrderEnded { upstream, model, end });
     note_lease(driver, held);
@@ -209,7 +209,7 @@
             driver.orders.spawn(async move {
                 let end = match address {
                     Some(address) => send_order(&order, address, flight_limit, guards).await,
-                    None => OrderEnd::NotSent,
+                    None => OrderResult::NotSent,
                 };
                 (order, end)
             });
@@ -284,10 +284,10 @@
     address: SocketAddr,
     flight_limit: Duration,
     guards: OrderGuards,
-) -> OrderEnd {
+) -> OrderResult {
     let Ok(Ok(stream)) = tokio::time::timeout(flight_limit, TcpStream::connect(address)).await
     else {
-        return OrderEnd::NotSent;
+        return OrderResult::NotSent;
     };
     let options = socket2::SockRef::from(&stream);
     let is_limited = options.set_tcp_user_timeout(Some(flight_limit)).is_ok();
@@ -295,13 +295,13 @@
     let Ok((mut sender, connection)) =
         hyper::client::conn::http1::handshake(TokioIo::new(stream)).await
     else {
-        return OrderEnd::NotSent;
+        return OrderResult::NotSent;
     };
     let Some(request) = order_request(order, address).filter(|_| is_limited) else {
-        return OrderEnd::NotSent;
+        return OrderResult::NotSent;
     };
     if !may_send(order, process_time(), guards) {
-        return OrderEnd::NotSent;
+        return OrderResult::NotSent;
     }
     let exchange = async {
         tokio::select! {
@@ -311,9 +311,9 @@
         }
     };
     match tokio::time::timeout(flight_limit, exchange).await {
-        Ok(Some(response)) if response.status() == StatusCode::CONFLICT => OrderEnd::Refused,
-        Ok(Some(response)) if response.status().is_success() => OrderEnd::Taken,
-        _ => OrderEnd::Unknown,
+        Ok(Some(response)) if response.status() == StatusCode::CONFLICT => OrderResult::Refused,
+        Ok(Some(response)) if response.status().is_success() => OrderResult::Taken,
+        _ => OrderResult::Unknown,
     }
 }
 
--- a/crates/bergamotpitch-platform/tests/order_driver.rs
+++ b/crates/bergamotpitch-platform/tests/order_driver.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use bergamotpitch_control::engine_orders::orders::{OrderEnd, OrderOptions, WantedModel};
+use bergamotpitch_control::engine_orders::orders::{OrderOptions, OrderResult, WantedModel};
 use bergamotpitch_platform::{OrderDriver, OrderNotice, OrderTarget, OrderWish};
 use bergamotpitch_standin::engines::{EngineOptions, start_engine};
 use bergamotpitch_standin::upstreams::Upstream;
@@ -19,13 +19,13 @@
     let (first, mut notices) = driver(&stage);
     first.set_wish(wish(&engine, "roses-1"));
     assert_eq!(notices.recv().await, Some(OrderNotice::LeaseWon { fencing: 1 }));
-    assert_eq!(notices.recv().await, Some(ended("roses-1", OrderEnd::Taken)));
+    assert_eq!(notices.recv().await, Some(ended("roses-1", OrderResult::Taken)));
     first.close().await;
     assert_eq!(notices.recv().await, Some(OrderNotice::LeaseLost { fencing: 1 }));
     let (second, mut notices) = driver(&stage);
     second.set_wish(wish(&engine, "roses-2"));
     assert_eq!(notices.recv().await, Some(OrderNotice::LeaseWon { fencing: 2 }));
-    assert_eq!(notices.recv().await, Some(ended("roses-2", OrderEnd::Taken)));
+    assert_eq!(notices.recv().await, Some(ended("roses-2", OrderResult::Taken)));
     second.close().await;
     engine.close().await;
     stage.standin.close().await;
@@ -50,7 +50,7 @@
         notice = first_notices.recv() => notice,
         notice = second_notices.recv() => notice,
     };
-    assert_eq!(next, Some(ended("roses-1", OrderEnd::Taken)));
+    assert_eq!(next, Some(ended("roses-1", OrderResult::Taken)));
     first.close().await;
     second.close().await;
     engine.close().await;
@@ -67,7 +67,7 @@
     driver.set_wish(wish(&engine, "roses-1"));
     let won = notices.recv().await;
     assert!(matches!(won, Some(OrderNotice::LeaseWon { .. })), "{won:?}");
-    assert_eq!(notices.recv().await, Some(ended("roses-1", OrderEnd::Taken)));
+    assert_eq!(notices.recv().await, Some(ended("roses-1", OrderResult::Taken)));
     common::set_faults(&stage, "{}").await;
     driver.close().await;
     engine.close().await;
@@ -85,7 +85,7 @@
     let (driver, mut notices) = driver(&stage);
     driver.set_wish(wish(&engine, "roses-1"));
     assert_eq!(notices.recv().await, Some(OrderNotice::LeaseWon { fencing: 1 }));
-    assert_eq!(notices.recv().await, Some(ended("roses-1", OrderEnd::Refused)));
+    assert_eq!(notices.recv().await, Some(ended("roses-1", OrderResult::Refused)));
     assert_eq!(notices.recv().await, Some(OrderNotice::LeaseLost { fencing: 1 }));
     driver.close().await;
     engine.close().await;
@@ -97,7 +97,7 @@
         lease_ttl: Duration::from_secs(2),
         lease_margin: Duration::from_millis(200),
         renew_interval: Duration::from_millis(400),
-        retry_pause: Duration::from_millis(50),
+        retry_delay: Duration::from_millis(50),
         order_flight_limit: Duration::from_millis(300),
         store_loads_per_minute: 6_000.0,
         ..OrderOptions::default()
@@ -120,6 +120,6 @@
     OrderWish { is_candidate: true, domain_count: 1, targets }
 }
 
-fn ended(model: &str, end: OrderEnd) -> OrderNotice {
+fn ended(model: &str, end: OrderResult) -> OrderNotice {
     OrderNotice::OrderEnded { upstream: 1, model: model.to_owned(), end }
 }
--- a/crates/bergamotpitch-proof/src/bin/bergamotpitch-slopes/claims.rs
+++ b/crates/bergamotpitch-proof/src/bin/bergamotpitch-slopes/claims.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use bergamotpitch_control::idempotency::claim_queues::{
-    self, ClaimEffect, ClaimOptions, ClaimQueues, ClaimWish, ReadResult, SegmentReadResult,
+    self, ClaimEffect, ClaimOptions, ClaimQueues, ClaimRequest, ReadResult, SegmentReadResult,
     WriteResult,
 };
 use bergamotpitch_control::idempotency::claim_segments::{Segment, SegmentName};
 use bergamotpitch_control::idempotency::claims::{
-    Claim, ClaimKey, Outcome, ShardId, ShardRecord, Verdict, claim_key, claim_size_bytes,
+    Claim, ClaimDecision, ClaimKey, Outcome, ShardId, ShardRecord, claim_key, claim_size_bytes,
 };
 use bergamotpitch_core::HashMap;
 use bergamotpitch_core::units::Timestamp;
@@ -250,8 +250,8 @@
     let key = claim_key("team", "service", &ticket.to_string());
     let nonce = u128::MAX / 2 + u128::from(ticket);
     run.wished.insert(ticket, Wished { key, nonce, at: run.now });
-    let wish = ClaimWish { ticket, key, fingerprint: key, nonce };
-    claim_queues::wish_claim(&mut run.queues[router], run.now, NOW_S, wish, effects);
+    let wish = ClaimRequest { ticket, key, fingerprint: key, nonce };
+    claim_queues::request_claim(&mut run.queues[router], run.now, NOW_S, wish, effects);
     router
 }
 
@@ -288,12 +288,12 @@
             run.segments.insert(name, segment);
             post(run, at + WAY, Due::SegmentWriteBack(router, shard));
         }
-        ClaimEffect::DropSegment { name, .. } => {
+        ClaimEffect::DeleteSegment { name, .. } => {
             run.segments.remove(&name);
         }
-        ClaimEffect::Answer { ticket, verdict } => {
+        ClaimEffect::Answer { ticket, decision } => {
             let Some(wished) = run.wished.remove(&ticket) else { return };
-            if !matches!(verdict, Verdict::Won { .. }) {
+            if !matches!(decision, ClaimDecision::Won { .. }) {
                 run.counts.lost += 1;
                 return;
             }
--- a/crates/bergamotpitch-proof/src/claim_callers.rs
+++ b/crates/bergamotpitch-proof/src/claim_callers.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use bergamotpitch_control::idempotency::claim_queues::{
-    ClaimWish, record_outcome, release_claim, wish_claim,
+    ClaimRequest, record_outcome, release_claim, request_claim,
 };
-use bergamotpitch_control::idempotency::claims::{Outcome, Verdict, may_hand_over};
+use bergamotpitch_control::idempotency::claims::{ClaimDecision, Outcome, may_dispatch};
 
 use crate::claim_histories::{AttemptId, ClaimStep, KeyId};
 use crate::claim_runs::{
@@ -41,7 +41,7 @@
     run.attempts[attempt].life = run.routers[router].life;
     run.attempts[attempt].wished = run.now;
     note(run, attempt, ClaimStep::Wished);
-    let wish = ClaimWish {
+    let wish = ClaimRequest {
         ticket: attempt as u64,
         key: key_of(run.attempts[attempt].key),
         fingerprint: [7; 16],
@@ -49,14 +49,14 @@
     };
     let mut effects = Vec::new();
     let now_s = unix_s(run, router);
-    wish_claim(&mut run.routers[router].queues, run.now, now_s, wish, &mut effects);
+    request_claim(&mut run.routers[router].queues, run.now, now_s, wish, &mut effects);
     tick(run, router, effects);
 }
 
 /// `apply_verdict` tells the caller, or lets the request wait for its turn.
-pub(crate) fn apply_verdict(run: &mut Run, attempt: AttemptId, verdict: Verdict) {
-    match verdict {
-        Verdict::Won { dispatch_until } => {
+pub(crate) fn apply_verdict(run: &mut Run, attempt: AttemptId, decision: ClaimDecision) {
+    match decision {
+        ClaimDecision::Won { dispatch_until } => {
             note(run, attempt, ClaimStep::Won);
             run.attempts[attempt].dispatch_until = dispatch_until;
             let taken = run.now.saturating_sub(run.attempts[attempt].wished);
@@ -64,18 +64,18 @@
             let wait = draw_time(run, run.options.longest_wait);
             post(run, run.now + wait, Event::Decide { attempt });
         }
-        Verdict::Answered(outcome) => {
+        ClaimDecision::Answered(outcome) => {
             let source = attempt_of_outcome(&outcome);
             note(run, attempt, ClaimStep::Answered(source));
             tell(run, attempt);
             run.answered[run.attempts[attempt].key] = true;
         }
-        Verdict::OutcomeUnknown | Verdict::Mismatch => {
+        ClaimDecision::OutcomeUnknown | ClaimDecision::Mismatch => {
             note(run, attempt, ClaimStep::Unknown);
             tell(run, attempt);
             try_again(run, attempt);
         }
-        Verdict::Unavailable => {
+        ClaimDecision::Unavailable => {
             note(run, attempt, ClaimStep::Unavailable);
             tell_not_run(run, attempt);
         }
@@ -88,7 +88,7 @@
         return;
     }
     let is_too_old =
-        run.options.checks_age && !may_hand_over(run.attempts[attempt].dispatch_until, run.now);
+        run.options.checks_age && !may_dispatch(run.attempts[attempt].dispatch_until, run.now);
     if is_too_old || draws(run, run.options.refused_percent) {
         release(run, attempt);
         return;
--- a/crates/bergamotpitch-proof/src/claim_kv_calls.rs
+++ b/crates/bergamotpitch-proof/src/claim_kv_calls.rs
@@ -37,8 +37,8 @@
     let (without_answer, lost) = match plan {
         CallPlan::OverRate { .. } => (WriteResult::RateLimited, true),
         CallPlan::Refused { .. } => (WriteResult::NoEffect, true),
-        CallPlan::Swallowed { .. } => (WriteResult::InDoubt, true),
-        CallPlan::Lands { lost, .. } => (WriteResult::InDoubt, lost),
+        CallPlan::Swallowed { .. } => (WriteResult::Unconfirmed, true),
+        CallPlan::Lands { lost, .. } => (WriteResult::Unconfirmed, lost),
     };
     let result = failed(&effect, without_answer);
     let life = run.routers[router].life;
@@ -64,7 +64,7 @@
         ClaimEffect::Write { .. } => CallResult::Written(write_result),
         ClaimEffect::ReadSegment { .. } => CallResult::SegmentRead(SegmentReadResult::Failed),
         ClaimEffect::WriteSegment { .. } => CallResult::SegmentWritten(write_result),
-        ClaimEffect::DropSegment { .. } | ClaimEffect::Answer { .. } => CallResult::Dropped,
+        ClaimEffect::DeleteSegment { .. } | ClaimEffect::Answer { .. } => CallResult::Dropped,
     }
 }
 
@@ -93,7 +93,7 @@
             let written = fake_kvs::write(kv, &segment_key(*shard, *name), value, 0);
             CallResult::SegmentWritten(write_result(written))
         }
-        ClaimEffect::DropSegment { shard, name } => {
+        ClaimEffect::DeleteSegment { shard, name } => {
             fake_kvs::delete(kv, &segment_key(*shard, *name));
             CallResult::Dropped
         }
--- a/crates/bergamotpitch-proof/src/claim_runs.rs
+++ b/crates/bergamotpitch-proof/src/claim_runs.rs
@@ -299,8 +299,8 @@
     );
     for effect in effects {
         match effect {
-            ClaimEffect::Answer { ticket, verdict } => {
-                claim_callers::apply_verdict(run, ticket as AttemptId, verdict);
+            ClaimEffect::Answer { ticket, decision } => {
+                claim_callers::apply_verdict(run, ticket as AttemptId, decision);
             }
             effect => claim_kv_calls::call(run, router, effect),
         }
--- a/crates/bergamotpitch-proof/src/order_runs.rs
+++ b/crates/bergamotpitch-proof/src/order_runs.rs
@@ -8,8 +8,8 @@
     LeaseEffect, LeaseEvent, OrderGuards, lock_effect,
 };
 use bergamotpitch_control::engine_orders::orders::{
-    Order, OrderDuty, OrderEffect, OrderEnd, OrderOptions, WantedModel, apply_order_end, may_send,
-    run, set_candidate, set_wanted,
+    Order, OrderEffect, OrderOptions, OrderResult, OrderScheduler, WantedModel, apply_order_result,
+    may_send, run, set_candidate, set_wanted,
 };
 use bergamotpitch_core::HashMap;
 use bergamotpitch_core::ids::UpstreamId;
@@ -55,11 +55,11 @@
     pub platform_cut: bool,
     /// Speed of its clock; 1 is right.
     pub clock_speed: f64,
-    duty: OrderDuty,
+    duty: OrderScheduler,
     calls: Vec<(Timestamp, LeaseEffect)>,
     results: Vec<(Timestamp, LeaseEvent)>,
     connecting: Vec<(Timestamp, Order)>,
-    ends: Vec<(Timestamp, UpstreamId, OrderEnd)>,
+    ends: Vec<(Timestamp, UpstreamId, OrderResult)>,
     orders_sent: u64,
 }
 
@@ -101,7 +101,7 @@
     let mut random = randoms::seeded(seed);
     let holders = (0..holder_count)
         .map(|_| {
-            let mut duty = OrderDuty::new(options.clone());
+            let mut duty = OrderScheduler::new(options.clone());
             set_candidate(&mut duty, true);
             Holder {
                 paused_until: Duration::ZERO,
@@ -181,7 +181,7 @@
         }
     }
     for (_, upstream, end) in take_due(&mut entry.ends, now, |end| end.0) {
-        apply_order_end(&mut entry.duty, clock, upstream, end);
+        apply_order_result(&mut entry.duty, clock, upstream, end);
     }
     for (_, order) in take_due(&mut entry.connecting, now, |connecting| connecting.0) {
         send(fleet, holder, order);
@@ -203,7 +203,7 @@
 fn send(fleet: &mut OrderFleet, holder: usize, order: Order) {
     let clock = clock_of(fleet, holder);
     if !may_send(&order, clock, fleet.options.guards) {
-        let end = (fleet.now, order.upstream, OrderEnd::NotSent);
+        let end = (fleet.now, order.upstream, OrderResult::NotSent);
         fleet.holders[holder].ends.push(end);
         return;
     }
@@ -235,12 +235,12 @@
         engine.highest_fencing = engine.highest_fencing.max(order.fencing);
         let is_lost = randoms::unit(&mut fleet.random) < 0.2;
         let end = match (is_old && engine.checks_fencing, is_lost) {
-            (true, _) => OrderEnd::Refused,
-            (false, true) => OrderEnd::Unknown,
-            (false, false) => OrderEnd::Taken,
+            (true, _) => OrderResult::Refused,
+            (false, true) => OrderResult::Unknown,
+            (false, false) => OrderResult::Taken,
         };
         fleet.holders[holder].ends.push((now, order.upstream, end));
-        if end != OrderEnd::Refused {
+        if end != OrderResult::Refused {
             engine.loading = Some((at + LOAD_TIME, order.model.clone()));
             let (fencing, model) = (order.fencing, order.model);
             fleet.history.push(OrderTaken { at, engine: index, fencing, number, model });
--- a/crates/bergamotpitch-proof/src/sheet_runs.rs
+++ b/crates/bergamotpitch-proof/src/sheet_runs.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bergamotpitch_control::configuration::sheet_duties::SheetGuards;
+use bergamotpitch_control::configuration::sheet_syncs::SheetGuards;
 use bergamotpitch_control::inputs::Sender;
 use bergamotpitch_control::{Input, Options, Output, Tables, step};
 use bergamotpitch_core::ids::{SheetVersion, id_of_name};
--- a/crates/bergamotpitch-proof/src/soaks.rs
+++ b/crates/bergamotpitch-proof/src/soaks.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bergamotpitch_control::configuration::sheet_duties::SheetGuards;
+use bergamotpitch_control::configuration::sheet_syncs::SheetGuards;
 use bergamotpitch_control::engine_orders::order_leases::OrderGuards;
 use bergamotpitch_control::idempotency::claim_queues::{ClaimGuards, ClaimOptions};
 use strum::{Display, EnumIter, EnumString};
--- a/crates/bergamotpitch-proof/tests/claim_checks.rs
+++ b/crates/bergamotpitch-proof/tests/claim_checks.rs
@@ -51,7 +51,7 @@
 
 /// An attempt hears that the key is taken before anybody wished for it.
 #[test]
-fn taken_by_nobody() {
+fn unclaimed_key_taken() {
     let records = history(&[
         (0, ClaimStep::Wished),
         (0, ClaimStep::Unknown),
--- a/crates/bergamotpitch-proof/tests/claim_expiry.rs
+++ b/crates/bergamotpitch-proof/tests/claim_expiry.rs
@@ -54,7 +54,7 @@
     assert!(check_expiry(&records[..2]).is_empty());
 }
 
-fn options(seed: u64, clock_margin: Duration, checks_age: bool) -> RunOptions {
+fn options(seed: u64, max_clock_skew: Duration, checks_age: bool) -> RunOptions {
     RunOptions {
         key_count: 40,
         arrival_time: Duration::from_secs(60),
@@ -67,7 +67,7 @@
         claims: ClaimOptions {
             shard_count: 4,
             lifetime: Duration::from_secs(12),
-            clock_margin,
+            max_clock_skew,
             ..ClaimOptions::default()
         },
         seed,
--- a/crates/bergamotpitch-proof/tests/claim_faults.rs
+++ b/crates/bergamotpitch-proof/tests/claim_faults.rs
@@ -52,7 +52,7 @@
 /// settled. The claim stays, and the caller who was told "not run" can never place the order.
 #[test]
 fn without_fence() {
-    let guards = ClaimGuards { fences_doubtful: false, ..ClaimGuards::default() };
+    let guards = ClaimGuards { fences_unconfirmed: false, ..ClaimGuards::default() };
     assert!(any_fault(guards, |fault| matches!(fault, ClaimFault::StuckClaim(_))));
 }
 
@@ -60,7 +60,7 @@
 /// and an order runs again when its caller asks for the answer.
 #[test]
 fn without_segments() {
-    let guards = ClaimGuards { looks_in_segments: false, ..ClaimGuards::default() };
+    let guards = ClaimGuards { searches_segments: false, ..ClaimGuards::default() };
     assert!(any_fault(guards, |fault| matches!(fault, ClaimFault::RanTwice(_))));
 }
 
@@ -68,8 +68,8 @@
 /// write took effect, so that nobody can read the segment that the record names, and no key of the
 /// shard can be claimed any more.
 #[test]
-fn without_segment_care() {
-    let guards = ClaimGuards { keeps_doubtful_segments: false, ..ClaimGuards::default() };
+fn without_unconfirmed_segments() {
+    let guards = ClaimGuards { keeps_unconfirmed_segments: false, ..ClaimGuards::default() };
     assert!(
         SEEDS
             .into_iter()
@@ -81,8 +81,8 @@
 /// it looks at that. If the wish were judged by the old read, a caller whose colleague already has the
 /// answer would hear "outcome unknown". Two seeds of a soak showed it.
 #[test]
-fn old_read() {
-    let guards = ClaimGuards { reads_after_wish: false, ..ClaimGuards::default() };
+fn stale_read() {
+    let guards = ClaimGuards { reads_after_request: false, ..ClaimGuards::default() };
     for seed in [5_375, 6_204] {
         let result = run_claims(claim_schedule(seed, ClaimGuards::default()));
         assert_eq!(check_claims(&result.records, &result.held), [], "seed {seed}");
--- a/crates/bergamotpitch-proof/tests/order_fences.rs
+++ b/crates/bergamotpitch-proof/tests/order_fences.rs
@@ -41,29 +41,29 @@
 /// A holder that does not look at its clock before it sends wakes from its pause and overwrites the
 /// newer order at an engine that does not check numbers.
 #[test]
-fn without_check() {
-    let guards = OrderGuards { stops_before_lapse: false, ..OrderGuards::default() };
+fn without_expiry_check() {
+    let guards = OrderGuards { stops_before_expiry: false, ..OrderGuards::default() };
     assert!(SEEDS.into_iter().any(|seed| has_late_order(false, guards, seed)));
 }
 
 /// A new holder that orders at once is overtaken by the last order of the holder before.
 #[test]
-fn without_wait() {
-    let guards = OrderGuards { waits_out_flight: false, ..OrderGuards::default() };
+fn without_in_flight_wait() {
+    let guards = OrderGuards { waits_for_orders_in_flight: false, ..OrderGuards::default() };
     assert!(SEEDS.into_iter().any(|seed| has_late_order(false, guards, seed)));
 }
 
 /// An engine that checks numbers is safe also without both rules.
 #[test]
 fn checking_engine() {
-    let guards = OrderGuards { stops_before_lapse: false, waits_out_flight: false };
+    let guards = OrderGuards { stops_before_expiry: false, waits_for_orders_in_flight: false };
     assert!(!SEEDS.into_iter().any(|seed| has_late_order(true, guards, seed)));
 }
 
 /// All engines of a domain are to load another model. If they began at once, the weight store would
 /// refuse loads of the other domains.
 #[test]
-fn paced_loads() {
+fn rate_limited_loads() {
     let mut fleet = new_fleet(2, 12, false, OrderGuards::default(), 3);
     run_for(&mut fleet, Duration::from_secs(30));
     // 180 loads a minute for three domains are one a second in this one. An order may be under way
--- a/crates/bergamotpitch-proof/tests/share_guards.rs
+++ b/crates/bergamotpitch-proof/tests/share_guards.rs
@@ -50,7 +50,7 @@
     for seed in [1, 2] {
         let mut without = FleetOptions { seed, ..FleetOptions::default() };
         without.control.share_guards.takes_detours = false;
-        without.control.member_guards.believes_others = false;
+        without.control.member_guards.accepts_peer_reports = false;
         let (with, without) = with_and_options("one-way cut inside", &blomakerfi(), &without);
         assert!(with.gap <= with.bound, "{with:?}");
         assert!(with.gap * 3.0 < without.gap, "{with:?} {without:?}");
--- a/crates/bergamotpitch-proof/tests/sheet_restarts.rs
+++ b/crates/bergamotpitch-proof/tests/sheet_restarts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bergamotpitch_control::configuration::sheet_duties::SheetGuards;
+use bergamotpitch_control::configuration::sheet_syncs::SheetGuards;
 use bergamotpitch_proof::sheet_histories::{SheetFault, check_times, check_versions};
 use bergamotpitch_proof::sheet_runs::{
     SheetFleet, accept, cut_platform, new_fleet, pause, restart, run_for, version_of,
@@ -19,19 +19,19 @@
 /// others of the fleet restart. If they took the sleeper's sheet, planners would see this morning's
 /// settings replaced by yesterday's.
 #[test]
-fn sleeper_wakes() {
-    let fleet = sleeper_history(SheetGuards::default());
+fn paused_router_resumes() {
+    let fleet = paused_router_history(SheetGuards::default());
     assert_eq!(check_versions(&fleet.history), []);
     assert!((1..3).all(|router| version_of(&fleet, router) == 0));
-    let guards = SheetGuards { doubts_after_sleep: false, ..SheetGuards::default() };
-    let broken = sleeper_history(guards);
+    let guards = SheetGuards { confirms_after_pause: false, ..SheetGuards::default() };
+    let broken = paused_router_history(guards);
     assert!(has(&broken, |fault| matches!(fault, SheetFault::BeganOlder(_))));
 }
 
 /// After the platform is back, the restarted routers and the sleeper all take its version.
 #[test]
 fn platform_back() {
-    let mut fleet = sleeper_history(SheetGuards::default());
+    let mut fleet = paused_router_history(SheetGuards::default());
     cut_platform(&mut fleet, &[0, 1, 2], false);
     run_for(&mut fleet, LIMIT);
     assert!((0..3).all(|router| version_of(&fleet, router) == 2));
@@ -48,7 +48,7 @@
         assert_eq!(check_versions(&fleet.history), [], "seed {seed}");
         assert_eq!(version_of(&fleet, 2), 2, "seed {seed}");
     }
-    let guards = SheetGuards { settles: false, ..SheetGuards::default() };
+    let guards = SheetGuards { collects_offers: false, ..SheetGuards::default() };
     let is_older = |fault: &SheetFault| matches!(fault, SheetFault::BeganOlder(_));
     assert!((1..21).any(|seed| has(&older_peer_history(guards, seed), is_older)));
 }
@@ -105,7 +105,7 @@
     accept(&mut fleet);
     run_for(&mut fleet, Duration::from_secs(15));
     let watchers: Vec<usize> =
-        (0..3).filter(|router| !fleet.routers[*router].tables.sheet_duty.left_to_others).collect();
+        (0..3).filter(|router| !fleet.routers[*router].tables.sheet_sync.watch_delegated).collect();
     assert_eq!(watchers.len(), 2);
     cut_platform(&mut fleet, &watchers, true);
     // The other domains cannot help.
@@ -156,8 +156,8 @@
 
 /// A router that takes any sheet it is offered goes back to that of a peer that woke late.
 #[test]
-fn without_rising() {
-    let guards = SheetGuards { only_rises: false, ..SheetGuards::default() };
+fn without_version_check() {
+    let guards = SheetGuards { requires_newer_version: false, ..SheetGuards::default() };
     let went_back = |fault: &SheetFault| matches!(fault, SheetFault::WentBack(_));
     assert!((1..41).any(|seed| has(&sheet_schedule(seed, guards), went_back)));
 }
@@ -179,12 +179,12 @@
         assert_eq!(check_times(&fleet.history, &routers, version, accepted, LIMIT), []);
     }
     let watching =
-        fleet.routers.iter().filter(|router| !router.tables.sheet_duty.left_to_others).count();
+        fleet.routers.iter().filter(|router| !router.tables.sheet_sync.watch_delegated).count();
     assert_eq!(watching, 6);
     assert_eq!(fleet.cross_fetches, 0, "fetches over paid links");
 }
 
-fn sleeper_history(guards: SheetGuards) -> SheetFleet {
+fn paused_router_history(guards: SheetGuards) -> SheetFleet {
     let mut fleet = new_fleet(&[3], guards, 1);
     accept(&mut fleet);
     run_for(&mut fleet, Duration::from_secs(5));
