--- a/crates/bergamotpitch-control/src/admission/dispatches.rs
+++ b/crates/bergamotpitch-control/src/admission/dispatches.rs
@@ -9,7 +9,7 @@
 use crate::admission::requests::count_waiting;
 use crate::capacity::{placements, windows};
 use crate::fairness::accounts::{charge_up_to, team_estimate};
-use crate::fairness::leases::{self, Leases, give_back, held};
+use crate::fairness::leases::{self, Leases, held, return_slots};
 use crate::fairness::levels::{Level, level_of_cost, share_of};
 use crate::outputs::{Event, Output};
 use crate::tables::{QueueKey, RequestState, Tables};
@@ -22,7 +22,7 @@
     for service in services {
         while let Some(upstream) = free_upstream(tables, service) {
             let Some(key) = next_queue(tables, service) else { break };
-            hand_over(tables, key, upstream, 0, outputs);
+            dispatch(tables, key, upstream, 0, outputs);
         }
     }
 }
@@ -30,18 +30,18 @@
 /// `run_leased` hands waiting requests over on the slots that this instance holds, and gives back
 /// those that no request here may use.
 pub fn run_leased(tables: &mut Tables, service: ServiceId, outputs: &mut Vec<Output>) {
-    let Some(mut known) = tables.leases.remove(&service) else { return };
-    let mut idle = idle_upstreams(tables, &known);
+    let Some(mut leases) = tables.leases.remove(&service) else { return };
+    let mut idle = idle_upstreams(tables, &leases);
     if !idle.is_empty() {
-        use_idle(tables, service, &mut known, &mut idle, outputs);
-        return_idle(&mut known, &idle);
+        dispatch_waiting(tables, service, &mut leases, &mut idle, outputs);
+        return_idle(&mut leases, &idle);
     }
-    tables.leases.insert(service, known);
+    tables.leases.insert(service, leases);
 }
 
-/// `Idle` is an upstream with leased slots that run nothing.
+/// `IdleUpstream` is an upstream with leased slots that run nothing.
 #[derive(Debug, Clone, Copy)]
-struct Idle {
+struct IdleUpstream {
     upstream: UpstreamId,
     slots: u32,
     fresh: u32,
@@ -50,15 +50,15 @@
     bound: Option<Level>,
 }
 
-impl Idle {
-    fn takes(&self, level: Level) -> bool {
+impl IdleUpstream {
+    fn accepts(&self, level: Level) -> bool {
         self.slots != 0 && (self.fresh != 0 || self.bound.is_none_or(|bound| level <= bound))
     }
 }
 
-fn idle_upstreams(tables: &Tables, known: &Leases) -> Vec<Idle> {
+fn idle_upstreams(tables: &Tables, leases: &Leases) -> Vec<IdleUpstream> {
     let mut idle = Vec::new();
-    for (upstream, lease) in &known.slots {
+    for (upstream, lease) in &leases.slots {
         let Some(entry) = tables.upstreams.get(upstream) else { continue };
         let slots = held(lease).saturating_sub(entry.running_requests);
         let is_failing = entry.failing_until.is_some_and(|until| tables.now < until);
@@ -69,95 +69,109 @@
         let bound = if entry.leaving {
             Some(Level::MIN)
         } else {
-            leases::bound(tables, entry.service, known, entry.domain)
+            leases::bound(tables, entry.service, leases, entry.domain)
         };
         let fresh = lease.fresh.min(slots);
         let has_failed = placements::has_failed(tables, *upstream);
-        idle.push(Idle { upstream: *upstream, slots, fresh, is_own_domain, has_failed, bound });
+        idle.push(IdleUpstream {
+            upstream: *upstream,
+            slots,
+            fresh,
+            is_own_domain,
+            has_failed,
+            bound,
+        });
     }
     idle
 }
 
-fn use_idle(
+fn dispatch_waiting(
     tables: &mut Tables,
     service: ServiceId,
-    known: &mut Leases,
-    idle: &mut [Idle],
+    leases: &mut Leases,
+    idle: &mut [IdleUpstream],
     outputs: &mut Vec<Output>,
 ) {
     let mut order: BTreeSet<(Level, TeamId)> = tables
         .queues
         .iter()
         .filter(|(key, queue)| key.service == service && !queue.is_empty())
-        .map(|(key, _)| (leases::level(tables, known, *key), key.team))
+        .map(|(key, _)| (leases::level(tables, leases, *key), key.team))
         .collect();
     while let Some((level, team)) = order.pop_first() {
         let key = QueueKey { service, team };
         // What has failed comes last, and slots of the own domain first: those of another are paid
         // for by the byte.
-        let usable = idle.iter().enumerate().filter(|(_, idle)| idle.takes(level));
+        let usable = idle.iter().enumerate().filter(|(_, idle)| idle.accepts(level));
         let Some((index, _)) =
             usable.max_by_key(|(_, idle)| (!idle.has_failed, idle.is_own_domain, idle.slots))
         else {
             return;
         };
-        let wanted = wanted_upstream(tables, key, idle, level).unwrap_or(index);
-        let upstream = idle[wanted].upstream;
+        let chosen = preferred_index(tables, key, idle, level).unwrap_or(index);
+        let upstream = idle[chosen].upstream;
         let Some(queue) = tables.queues.get(&key) else { continue };
-        let entry = known.teams.entry(team).or_default();
-        let place = placements::choose(tables, service, upstream, queue, entry.passed_over);
-        entry.passed_over = if place == 0 { 0 } else { entry.passed_over + 1 };
+        let entry = leases.teams.entry(team).or_default();
+        let queue_index =
+            placements::choose_position(tables, service, upstream, queue, entry.skipped);
+        entry.skipped = if queue_index == 0 { 0 } else { entry.skipped + 1 };
         let before = tables.accounts.get(&key).copied().unwrap_or(0);
-        hand_over(tables, key, upstream, place, outputs);
-        idle[wanted].slots -= 1;
-        idle[wanted].fresh = idle[wanted].fresh.saturating_sub(1);
-        if let Some(lease) = known.slots.get_mut(&upstream) {
+        dispatch(tables, key, upstream, queue_index, outputs);
+        idle[chosen].slots -= 1;
+        idle[chosen].fresh = idle[chosen].fresh.saturating_sub(1);
+        if let Some(lease) = leases.slots.get_mut(&upstream) {
             lease.fresh = lease.fresh.saturating_sub(1);
         }
         let charged = tables.accounts.get(&key).copied().unwrap_or(0) as i64 - before as i64;
         if tables.queues.get(&key).is_some_and(|queue| !queue.is_empty()) {
-            let more = level_of_cost(charged, share_of(&tables.teams, team));
-            order.insert((level + more, team));
+            let added_level = level_of_cost(charged, share_of(&tables.teams, team));
+            order.insert((level + added_level, team));
         }
     }
 }
 
-/// `wanted_upstream` is the idle upstream that likely holds the prefix of a team's oldest request.
-fn wanted_upstream(tables: &Tables, key: QueueKey, idle: &[Idle], level: Level) -> Option<usize> {
+/// `preferred_index` is the idle upstream that likely holds the prefix of a team's oldest request.
+fn preferred_index(
+    tables: &Tables,
+    key: QueueKey,
+    idle: &[IdleUpstream],
+    level: Level,
+) -> Option<usize> {
     if !tables.options.prefix_placement {
         return None;
     }
     let request = tables.queues.get(&key)?.front()?;
     let prefix = tables.requests.get(request)?.arrival.prefix;
     let upstream = placements::preferred(tables, key.service, prefix)?;
-    idle.iter().position(|idle| idle.upstream == upstream && idle.takes(level))
+    idle.iter().position(|idle| idle.upstream == upstream && idle.accepts(level))
 }
 
-fn return_idle(known: &mut Leases, idle: &[Idle]) {
-    let is_contended = known.frontier.is_some();
+fn return_idle(leases: &mut Leases, idle: &[IdleUpstream]) {
+    let is_contended = leases.frontier.is_some();
     let mut kept = 0;
     for idle in idle {
         let keep = if is_contended || !idle.is_own_domain || idle.bound == Some(Level::MIN) {
             0
         } else {
             // Twice the quota may stay, so that quotas do not travel back and forth.
-            (known.keep_slots * 2).saturating_sub(kept).min(idle.slots)
+            (leases.keep_slots * 2).saturating_sub(kept).min(idle.slots)
         };
         kept += keep;
         if keep < idle.slots {
-            give_back(known, idle.upstream, idle.slots - keep);
+            return_slots(leases, idle.upstream, idle.slots - keep);
         }
     }
 }
 
-fn hand_over(
+fn dispatch(
     tables: &mut Tables,
     key: QueueKey,
     upstream: UpstreamId,
-    place: usize,
+    queue_index: usize,
     outputs: &mut Vec<Output>,
 ) {
-    let Some(request) = tables.queues.get_mut(&key).and_then(|queue| queue.remove(place)) else {
+    let Some(request) = tables.queues.get_mut(&key).and_then(|queue| queue.remove(queue_index))
+    else {
         return;
     };
     let estimate = team_estimate(tables, key);
--- a/crates/bergamotpitch-control/src/admission/limits.rs
+++ b/crates/bergamotpitch-control/src/admission/limits.rs
@@ -10,7 +10,7 @@
 use crate::tables::{QueueKey, Tables};
 
 /// Weight of the latest interval in a queue's pace.
-const PACE_WEIGHT: f64 = 0.1;
+const INTERVAL_WEIGHT: f64 = 0.1;
 
 /// Retries that a team may save up for a service, in percent of a retry: ten of them.
 const BUDGET_LIMIT_PERCENT: u32 = 1_000;
@@ -19,7 +19,7 @@
 const FIRST_BUDGET_PERCENT: u32 = 300;
 
 /// Cost of one retry.
-const RETRY_PERCENT: u32 = 100;
+const RETRY_COST_PERCENT: u32 = 100;
 
 /// Pause before the first retry of a request; it doubles with each further one.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
@@ -34,7 +34,7 @@
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(60);
 
 /// Time for which a queue's pace and retries are remembered after its last request.
-const MEMORY_TIME: Duration = Duration::from_secs(600);
+const QUEUE_LIMITS_LIFETIME: Duration = Duration::from_secs(600);
 
 /// Time between two sweeps of what is no longer needed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(30);
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, Copy)]
 struct QueueLimits {
     interval_s: Option<f64>,
-    handed_over: Timestamp,
+    last_dispatch: Timestamp,
     budget_percent: u32,
     used: Timestamp,
 }
@@ -62,7 +62,7 @@
     let now = tables.now;
     let limits = tables.limits.queues.entry(key).or_insert(QueueLimits {
         interval_s: None,
-        handed_over: Timestamp::ZERO,
+        last_dispatch: Timestamp::ZERO,
         budget_percent: FIRST_BUDGET_PERCENT,
         used: now,
     });
@@ -70,18 +70,18 @@
     limits
 }
 
-/// `note_hand_over` learns a queue's pace from a request that leaves it for an upstream.
+/// `record_dispatch` learns a queue's pace from a request that leaves it for an upstream.
 ///
 /// Only time in which the request could have been taken counts, so that a team that seldom asks is
 /// not thought to be served seldom.
-pub fn note_hand_over(tables: &mut Tables, key: QueueKey, arrived: Timestamp) {
+pub fn record_dispatch(tables: &mut Tables, key: QueueKey, arrived: Timestamp) {
     let now = tables.now;
     let limits = queue_limits(tables, key);
-    let since = limits.handed_over.max(arrived);
+    let since = limits.last_dispatch.max(arrived);
     let sample_s = now.saturating_sub(since).as_secs_f64();
-    limits.handed_over = now;
+    limits.last_dispatch = now;
     let interval_s = limits.interval_s.get_or_insert(sample_s);
-    *interval_s += (sample_s - *interval_s) * PACE_WEIGHT;
+    *interval_s += (sample_s - *interval_s) * INTERVAL_WEIGHT;
 }
 
 /// `expected_wait` is how long a request will likely wait behind those of its queue; none when
@@ -102,8 +102,8 @@
     wait.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX).mul_f64(spread)
 }
 
-/// `fill_budget` adds what a first attempt is worth to a team's retries for a service.
-pub fn fill_budget(tables: &mut Tables, key: QueueKey, percent: u32) {
+/// `refill_retry_budget` adds what a first attempt is worth to a team's retries for a service.
+pub fn refill_retry_budget(tables: &mut Tables, key: QueueKey, percent: u32) {
     let limits = queue_limits(tables, key);
     limits.budget_percent = (limits.budget_percent + percent).min(BUDGET_LIMIT_PERCENT);
 }
@@ -114,7 +114,7 @@
 /// request would be sent as often as its attempts allow.
 pub fn take_retry(tables: &mut Tables, key: QueueKey) -> bool {
     let limits = queue_limits(tables, key);
-    let Some(left) = limits.budget_percent.checked_sub(RETRY_PERCENT) else { return false };
+    let Some(left) = limits.budget_percent.checked_sub(RETRY_COST_PERCENT) else { return false };
     limits.budget_percent = left;
     true
 }
@@ -131,7 +131,7 @@
     let mixed = tables.options.seed
         ^ request.wrapping_mul(0x9e37_79b9_7f4a_7c15)
         ^ u64::from(attempt).wrapping_mul(0xc2b2_ae3d_27d4_eb4f);
-    let random = crate::fairness::homes::weight((mixed >> 32) as u32, mixed as u32);
+    let random = crate::fairness::coordinators::weight((mixed >> 32) as u32, mixed as u32);
     (random >> 11) as f64 / (1_u64 << 53) as f64
 }
 
@@ -143,6 +143,6 @@
         return;
     }
     tables.limits.swept = now;
-    tables.limits.queues.retain(|_, limits| now < limits.used + MEMORY_TIME);
+    tables.limits.queues.retain(|_, limits| now < limits.used + QUEUE_LIMITS_LIFETIME);
     tables.queues.retain(|_, queue| !queue.is_empty());
 }
--- a/crates/bergamotpitch-control/src/admission/requests.rs
+++ b/crates/bergamotpitch-control/src/admission/requests.rs
@@ -21,10 +21,10 @@
 const UNRUN_ATTEMPT_LIMIT: u32 = 5;
 
 /// Shortest silence of an upstream that counts against it when a deadline passes there.
-const SHORTEST_SILENCE: Duration = Duration::from_millis(50);
+const MIN_UNRESPONSIVE_TIME: Duration = Duration::from_millis(50);
 
 /// Time after which a refused caller should come back when nothing better is known.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// `apply_arrival` queues a request, or refuses it at once.
 pub fn apply_arrival(tables: &mut Tables, arrival: Arrival, outputs: &mut Vec<Output>) {
@@ -38,7 +38,7 @@
     }
     let key = key_of_arrival(&arrival);
     let percent = tables.teams.get(&arrival.team).map_or(0, |team| team.retry_budget_percent);
-    limits::fill_budget(tables, key, percent);
+    limits::refill_retry_budget(tables, key, percent);
     tables.queues.entry(key).or_default().push_back(request);
     count_waiting(tables, &arrival, true);
     let entry = Request {
@@ -56,16 +56,16 @@
 
 fn admission_refusal(tables: &Tables, arrival: &Arrival) -> Option<(RefusalReason, Duration)> {
     if tables.sheet.is_none() {
-        return Some((RefusalReason::NotReady, RETRY_AFTER));
+        return Some((RefusalReason::NotReady, DEFAULT_RETRY_AFTER));
     }
     if tables.refusing_from.is_some_and(|from| from <= tables.now) {
         return Some((RefusalReason::Draining, Duration::ZERO));
     }
     let Some(team) = tables.teams.get(&arrival.team) else {
-        return Some((RefusalReason::UnknownTeam, RETRY_AFTER));
+        return Some((RefusalReason::UnknownTeam, DEFAULT_RETRY_AFTER));
     };
     if !upstreams::has_live(tables, arrival.service) {
-        return Some((RefusalReason::NoUpstream, RETRY_AFTER));
+        return Some((RefusalReason::NoUpstream, DEFAULT_RETRY_AFTER));
     }
     let wait = limits::expected_wait(tables, key_of_arrival(arrival));
     // Without a bound one team's flood would fill the memory that all teams share.
@@ -73,18 +73,18 @@
         || team.queue_limit_bytes < team.waiting_bytes + arrival.body_bytes;
     if is_full {
         // By then a quarter of the queue has gone, so that callers do not come back in vain.
-        return Some((RefusalReason::QueueFull, wait.unwrap_or(RETRY_AFTER) / 4));
+        return Some((RefusalReason::QueueFull, wait.unwrap_or(DEFAULT_RETRY_AFTER) / 4));
     }
     // A request that would only wait for its deadline keeps its caller from asking elsewhere, and
     // is refused in the end all the same.
-    let patience = arrival.deadline.saturating_sub(tables.now);
-    let excess = wait.and_then(|wait| wait.checked_sub(patience)).filter(|wait| !wait.is_zero());
+    let remaining = arrival.deadline.saturating_sub(tables.now);
+    let excess = wait.and_then(|wait| wait.checked_sub(remaining)).filter(|wait| !wait.is_zero());
     excess.map(|excess| (RefusalReason::DeadlineUnreachable, excess))
 }
 
 /// `apply_caller_left` forgets a request whose caller has gone.
 pub fn apply_caller_left(tables: &mut Tables, request: RequestId, outputs: &mut Vec<Output>) {
-    let Some(entry) = take_out(tables, request) else { return };
+    let Some(entry) = remove_request(tables, request) else { return };
     let event =
         Event::of_kind(EventKind::CallerLeft).with_request(request).with_team(entry.arrival.team);
     outputs.push(Output::Emit(event));
@@ -94,7 +94,7 @@
 pub fn apply_first_byte(tables: &mut Tables, request: RequestId) {
     let state = tables.requests.get(&request).map(|entry| entry.state);
     if let Some(RequestState::Running { upstream }) = state {
-        upstreams::note_answer(tables, upstream);
+        upstreams::record_answer(tables, upstream);
     }
 }
 
@@ -119,13 +119,13 @@
     let Some(entry) = tables.requests.get(&request) else { return };
     let RequestState::Running { upstream } = entry.state else { return };
     if outcome == AttemptOutcome::Answered {
-        accounts::settle(tables, request, cost);
+        accounts::charge_final_cost(tables, request, cost);
     } else {
         accounts::charge_up_to(tables, request, cost);
     }
     match outcome {
         AttemptOutcome::Answered => {
-            upstreams::mark_sound(tables, upstream, outputs);
+            upstreams::mark_healthy(tables, upstream, outputs);
             end(tables, request, upstream, EventKind::RequestAnswered, outputs);
         }
         AttemptOutcome::AnswerCut => {
@@ -133,12 +133,12 @@
         }
         AttemptOutcome::ProvedUnrun => {
             upstreams::mark_failing(tables, upstream, outputs);
-            try_elsewhere(tables, request, outputs);
+            requeue_unrun(tables, request, outputs);
         }
-        AttemptOutcome::DeadlinePassed => end_late(tables, request, upstream, outputs),
+        AttemptOutcome::DeadlinePassed => end_at_deadline(tables, request, upstream, outputs),
         AttemptOutcome::FailedBeforeAnswer | AttemptOutcome::Garbage => {
             upstreams::mark_failing(tables, upstream, outputs);
-            try_again(tables, request, reason_of_outcome(outcome), outputs);
+            retry(tables, request, reason_of_outcome(outcome), outputs);
         }
     }
 }
@@ -157,24 +157,24 @@
     kind: EventKind,
     outputs: &mut Vec<Output>,
 ) {
-    take_out(tables, request);
+    remove_request(tables, request);
     outputs.push(Output::Emit(Event::of_kind(kind).with_request(request).with_upstream(upstream)));
 }
 
-/// `end_late` gives up a request whose deadline passed at an upstream.
+/// `end_at_deadline` gives up a request whose deadline passed at an upstream.
 ///
 /// That is evidence against an upstream that has sent nothing to anyone since, for long enough. One
 /// that answers others is only busy: paused for each caller in a hurry, it would stand idle while
 /// work waits.
-fn end_late(
+fn end_at_deadline(
     tables: &mut Tables,
     request: RequestId,
     upstream: UpstreamId,
     outputs: &mut Vec<Output>,
 ) {
-    let Some(mut entry) = take_out(tables, request) else { return };
+    let Some(mut entry) = remove_request(tables, request) else { return };
     entry.ran = Ran::Unknown;
-    let was_short = tables.now < entry.handed_over + SHORTEST_SILENCE;
+    let was_short = tables.now < entry.handed_over + MIN_UNRESPONSIVE_TIME;
     if was_short || upstreams::has_answered_since(tables, upstream, entry.handed_over) {
         give_up(tables, &entry, RefusalReason::DeadlinePassed, outputs);
         return;
@@ -183,25 +183,25 @@
     give_up(tables, &entry, RefusalReason::UpstreamFailed, outputs);
 }
 
-/// `try_elsewhere` queues a request that provably did not run. It costs no retry: the upstream that
+/// `requeue_unrun` queues a request that provably did not run. It costs no retry: the upstream that
 /// turned it away gets nothing more until its pause is over.
-fn try_elsewhere(tables: &mut Tables, request: RequestId, outputs: &mut Vec<Output>) {
-    let Some(entry) = take_out(tables, request) else { return };
+fn requeue_unrun(tables: &mut Tables, request: RequestId, outputs: &mut Vec<Output>) {
+    let Some(entry) = remove_request(tables, request) else { return };
     if UNRUN_ATTEMPT_LIMIT <= entry.attempts {
         give_up(tables, &entry, RefusalReason::UpstreamFailed, outputs);
         return;
     }
-    queue_again(tables, entry, None, outputs);
+    requeue(tables, entry, None, outputs);
 }
 
-/// `try_again` queues a request whose failed attempt may have run, if that may be repeated.
-fn try_again(
+/// `retry` queues a request whose failed attempt may have run, if that may be repeated.
+fn retry(
     tables: &mut Tables,
     request: RequestId,
     reason: RefusalReason,
     outputs: &mut Vec<Output>,
 ) {
-    let Some(mut entry) = take_out(tables, request) else { return };
+    let Some(mut entry) = remove_request(tables, request) else { return };
     // From here on "not run" would be a lie, however long the request waits again.
     entry.ran = Ran::Unknown;
     if !entry.arrival.repeatable || ATTEMPT_LIMIT <= entry.attempts {
@@ -217,10 +217,10 @@
         return;
     }
     let until = tables.now + limits::retry_pause(tables, request, entry.attempts);
-    queue_again(tables, entry, Some(until), outputs);
+    requeue(tables, entry, Some(until), outputs);
 }
 
-fn queue_again(
+fn requeue(
     tables: &mut Tables,
     entry: Request,
     paused_until: Option<Timestamp>,
@@ -261,7 +261,7 @@
         tables.limits.deadlines.iter().map(|(_, request)| *request).collect();
     waiting.sort_unstable();
     for request in waiting {
-        let Some(entry) = take_out(tables, request) else { continue };
+        let Some(entry) = remove_request(tables, request) else { continue };
         give_up(tables, &entry, RefusalReason::Draining, outputs);
     }
 }
@@ -274,7 +274,7 @@
     while let Some((deadline, request)) = tables.limits.deadlines.first().copied()
         && deadline <= tables.now
     {
-        let Some(entry) = take_out(tables, request) else {
+        let Some(entry) = remove_request(tables, request) else {
             tables.limits.deadlines.pop_first();
             continue;
         };
@@ -296,7 +296,8 @@
 fn give_up(tables: &Tables, entry: &Request, reason: RefusalReason, outputs: &mut Vec<Output>) {
     let wait = match reason {
         RefusalReason::Draining => Duration::ZERO,
-        _ => limits::expected_wait(tables, key_of_arrival(&entry.arrival)).unwrap_or(RETRY_AFTER),
+        _ => limits::expected_wait(tables, key_of_arrival(&entry.arrival))
+            .unwrap_or(DEFAULT_RETRY_AFTER),
     };
     refuse(tables, entry.arrival.request, reason, entry.ran, wait, outputs);
 }
@@ -317,7 +318,7 @@
     outputs.push(Output::Refuse { request, refusal: Refusal { reason, ran, retry_after } });
 }
 
-fn take_out(tables: &mut Tables, request: RequestId) -> Option<Request> {
+fn remove_request(tables: &mut Tables, request: RequestId) -> Option<Request> {
     let entry = tables.requests.remove(&request)?;
     match entry.state {
         RequestState::Queued => {
@@ -354,7 +355,7 @@
     if !waits {
         uncount_waiting(tables, arrival);
         let arrived = tables.requests.get(&arrival.request).map(|entry| entry.arrived);
-        limits::note_hand_over(tables, key_of_arrival(arrival), arrived.unwrap_or(tables.now));
+        limits::record_dispatch(tables, key_of_arrival(arrival), arrived.unwrap_or(tables.now));
         return;
     }
     tables.limits.deadlines.insert((arrival.deadline, arrival.request));
--- a/crates/bergamotpitch-control/src/capacity/placements.rs
+++ b/crates/bergamotpitch-control/src/capacity/placements.rs
@@ -10,7 +10,7 @@
 const LOOK_AHEAD_REQUESTS: usize = 16;
 
 /// Times in a row that the oldest request of a team may be passed over.
-pub const PASS_OVER_LIMIT: u32 = 8;
+pub const SKIP_LIMIT: u32 = 8;
 
 /// `preferred` is the upstream of the domain that a prefix is placed on.
 pub fn preferred(tables: &Tables, service: ServiceId, prefix: u64) -> Option<UpstreamId> {
@@ -22,7 +22,7 @@
         .iter()
         .filter(|upstream| tables.upstreams.get(upstream).is_some_and(|entry| !entry.leaving))
         .filter(|upstream| !has_failed(tables, **upstream))
-        .max_by_key(|upstream| (mixed(prefix, **upstream), **upstream))
+        .max_by_key(|upstream| (prefix_weight(prefix, **upstream), **upstream))
         .copied()
 }
 
@@ -34,23 +34,23 @@
     tables.health.failures.contains_key(&upstream)
 }
 
-fn mixed(prefix: u64, upstream: UpstreamId) -> u64 {
+fn prefix_weight(prefix: u64, upstream: UpstreamId) -> u64 {
     let folded = (prefix ^ (prefix >> 32)) as u32;
-    crate::fairness::homes::weight(folded, upstream)
+    crate::fairness::coordinators::weight(folded, upstream)
 }
 
-/// `choose` is the place in a team's queue of the request that a free slot should take.
+/// `choose_position` is the place in a team's queue of the request that a free slot should take.
 ///
 /// Only the order within the team changes, and the oldest request is passed over only so many times,
 /// so no team and no request waits for ever for the sake of a cache.
-pub fn choose(
+pub fn choose_position(
     tables: &Tables,
     service: ServiceId,
     upstream: UpstreamId,
     queue: &VecDeque<RequestId>,
-    passed_over: u32,
+    skipped: u32,
 ) -> usize {
-    if !tables.options.prefix_placement || PASS_OVER_LIMIT <= passed_over {
+    if !tables.options.prefix_placement || SKIP_LIMIT <= skipped {
         return 0;
     }
     queue
--- a/crates/bergamotpitch-control/src/capacity/upstreams.rs
+++ b/crates/bergamotpitch-control/src/capacity/upstreams.rs
@@ -31,10 +31,10 @@
 
 /// Difference by which a peer's evidence must be newer to count. A mark that travels between
 /// instances gains the time of the way; without this margin two of them could keep it for ever.
-const EVIDENCE_MARGIN: Duration = Duration::from_secs(1);
+const PEER_NOTICE_MARGIN: Duration = Duration::from_secs(1);
 
 /// Marks kept at most; a peer that names upstreams without end must not fill the memory.
-const MARK_LIMIT: usize = 8_192;
+const LEAVING_LIMIT: usize = 8_192;
 
 /// `HealthTable` is what is known of upstreams beside the sheet.
 #[derive(Debug, Default)]
@@ -42,11 +42,11 @@
     /// Failures in a row, by upstream.
     pub failures: HashMap<UpstreamId, u32>,
     /// When an upstream last sent some of an answer to this instance.
-    pub answered: HashMap<UpstreamId, Timestamp>,
+    pub last_answer: HashMap<UpstreamId, Timestamp>,
     /// Time of the latest evidence that an upstream is leaving.
     pub leaving: BTreeMap<UpstreamId, Timestamp>,
     /// Marks that became known and have not been told to peers.
-    pub untold: Vec<UpstreamId>,
+    pub unannounced: Vec<UpstreamId>,
     applied_version: SheetVersion,
 }
 
@@ -73,16 +73,16 @@
 pub fn apply_leaving_lines(tables: &mut Tables, lines: &[LeavingLine], outputs: &mut Vec<Output>) {
     for line in lines {
         let age = Duration::from_millis(u64::from(line.age_ds) * 100);
-        note_evidence(tables, line.upstream, age, EVIDENCE_MARGIN, outputs);
+        record_notice(tables, line.upstream, age, PEER_NOTICE_MARGIN, outputs);
     }
 }
 
 /// `mark_leaving` stops new work for an upstream of which there is evidence now.
 pub fn mark_leaving(tables: &mut Tables, upstream: UpstreamId, outputs: &mut Vec<Output>) {
-    note_evidence(tables, upstream, Duration::ZERO, Duration::ZERO, outputs);
+    record_notice(tables, upstream, Duration::ZERO, Duration::ZERO, outputs);
 }
 
-fn note_evidence(
+fn record_notice(
     tables: &mut Tables,
     upstream: UpstreamId,
     age: Duration,
@@ -90,20 +90,20 @@
     outputs: &mut Vec<Output>,
 ) {
     // Evidence from before this process started is as good as of its start.
-    let evidence = tables.now.saturating_sub(age);
+    let observed = tables.now.saturating_sub(age);
     if LEAVING_HOLD <= age {
         return;
     }
     let known = tables.health.leaving.get(&upstream).copied();
-    if known.is_some_and(|known| evidence < known + margin) {
+    if known.is_some_and(|known| observed < known + margin) {
         return;
     }
-    if known.is_none() && MARK_LIMIT <= tables.health.leaving.len() {
+    if known.is_none() && LEAVING_LIMIT <= tables.health.leaving.len() {
         return;
     }
-    tables.health.leaving.insert(upstream, evidence);
+    tables.health.leaving.insert(upstream, observed);
     if known.is_none() {
-        tables.health.untold.push(upstream);
+        tables.health.unannounced.push(upstream);
         set_leaving(tables, upstream, true, outputs);
     }
 }
@@ -132,19 +132,19 @@
         for upstream in leaving(tables) {
             set_leaving(tables, upstream, true, outputs);
         }
-        let HealthTable { failures, answered, .. } = &mut tables.health;
+        let HealthTable { failures, last_answer, .. } = &mut tables.health;
         failures.retain(|upstream, _| tables.upstreams.contains_key(upstream));
-        answered.retain(|upstream, _| tables.upstreams.contains_key(upstream));
+        last_answer.retain(|upstream, _| tables.upstreams.contains_key(upstream));
     }
     let now = tables.now;
-    let over: Vec<UpstreamId> = tables
+    let expired: Vec<UpstreamId> = tables
         .health
         .leaving
         .iter()
-        .filter(|(_, evidence)| **evidence + LEAVING_HOLD <= now)
+        .filter(|(_, observed)| **observed + LEAVING_HOLD <= now)
         .map(|(upstream, _)| *upstream)
         .collect();
-    for upstream in over {
+    for upstream in expired {
         tables.health.leaving.remove(&upstream);
         set_leaving(tables, upstream, false, outputs);
     }
@@ -170,19 +170,19 @@
     outputs.push(Output::Emit(Event::of_kind(EventKind::UpstreamFailing).with_upstream(upstream)));
 }
 
-/// `note_answer` notes that an upstream sends some of an answer.
-pub fn note_answer(tables: &mut Tables, upstream: UpstreamId) {
-    tables.health.answered.insert(upstream, tables.now);
+/// `record_answer` notes that an upstream sends some of an answer.
+pub fn record_answer(tables: &mut Tables, upstream: UpstreamId) {
+    tables.health.last_answer.insert(upstream, tables.now);
 }
 
 /// `has_answered_since` tells whether an upstream has sent any of an answer here since a time.
 pub fn has_answered_since(tables: &Tables, upstream: UpstreamId, since: Timestamp) -> bool {
-    tables.health.answered.get(&upstream).is_some_and(|answered| since < *answered)
+    tables.health.last_answer.get(&upstream).is_some_and(|last_answer| since < *last_answer)
 }
 
-/// `mark_sound` notes that an upstream answered.
-pub fn mark_sound(tables: &mut Tables, upstream: UpstreamId, outputs: &mut Vec<Output>) {
-    note_answer(tables, upstream);
+/// `mark_healthy` notes that an upstream answered.
+pub fn mark_healthy(tables: &mut Tables, upstream: UpstreamId, outputs: &mut Vec<Output>) {
+    record_answer(tables, upstream);
     if tables.health.failures.remove(&upstream).is_none() {
         return;
     }
@@ -199,8 +199,8 @@
 
 /// `leaving_line` is what a peer is told of an upstream that is leaving.
 pub fn leaving_line(tables: &Tables, upstream: UpstreamId) -> Option<LeavingLine> {
-    let evidence = tables.health.leaving.get(&upstream)?;
-    let age_ds = tables.now.saturating_sub(*evidence).as_millis() / 100;
+    let observed = tables.health.leaving.get(&upstream)?;
+    let age_ds = tables.now.saturating_sub(*observed).as_millis() / 100;
     Some(LeavingLine { upstream, age_ds: u16::try_from(age_ds).unwrap_or(u16::MAX) })
 }
 
--- a/crates/bergamotpitch-control/src/fairness.rs
+++ b/crates/bergamotpitch-control/src/fairness.rs
@@ -2,13 +2,13 @@
 //! they grant.
 
 pub mod accounts;
-pub mod detours;
+pub mod coordinators;
 pub mod domain_reports;
 pub mod grants;
-pub mod home_reports;
-pub mod homes;
 pub mod leases;
 pub mod levels;
+pub mod relays;
 pub mod share_messages;
+pub mod share_reports;
 pub mod shares;
 pub mod spills;
--- a/crates/bergamotpitch-control/src/fairness/accounts.rs
+++ b/crates/bergamotpitch-control/src/fairness/accounts.rs
@@ -32,16 +32,16 @@
     entry.charged_cost = cost;
 }
 
-/// `settle` charges the whole cost of an answered request and learns from it.
-pub fn settle(tables: &mut Tables, request: RequestId, cost: CostUnits) {
+/// `charge_final_cost` charges the whole cost of an answered request and learns from it.
+pub fn charge_final_cost(tables: &mut Tables, request: RequestId, cost: CostUnits) {
     let Some(entry) = tables.requests.get(&request) else { return };
     let key = QueueKey { service: entry.arrival.service, team: entry.arrival.team };
     charge_up_to(tables, request, cost);
-    learn(tables.team_estimates.entry(key).or_default(), cost);
-    learn(tables.service_estimates.entry(key.service).or_default(), cost);
+    update_estimate(tables.team_estimates.entry(key).or_default(), cost);
+    update_estimate(tables.service_estimates.entry(key.service).or_default(), cost);
 }
 
-fn learn(estimate: &mut Estimate, cost: CostUnits) {
+fn update_estimate(estimate: &mut Estimate, cost: CostUnits) {
     estimate.count = estimate.count.saturating_add(1);
     let weight = ESTIMATE_WEIGHT.max(1.0 / f64::from(estimate.count));
     estimate.mean_cost += (cost as f64 - estimate.mean_cost) * weight;
--- a/crates/bergamotpitch-control/src/fairness/homes.rs
+++ b/crates/bergamotpitch-control/src/fairness/coordinators.rs
@@ -14,18 +14,18 @@
 use crate::fairness::grants::requests_level;
 use crate::fairness::leases::SlotLease;
 use crate::fairness::levels::{Level, level_of_cost, share_of};
-use crate::fairness::spills::{self, Remote};
+use crate::fairness::spills::{self, RemoteDomain};
 use crate::tables::{Tables, Team};
 
 /// Instances for each service from which on no instance holds two services.
-const SPREADING_INSTANCES: usize = 3;
+const SPREAD_INSTANCES_PER_SERVICE: usize = 3;
 
 /// Time for which a new home listens before it grants, unless all members have reported.
 pub const RECOVERY_TIME: Duration = Duration::from_millis(600);
 
-/// `Home` is the state of the duty for one service.
+/// `Coordinator` is the state of the duty for one service.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Home {
+pub struct Coordinator {
     /// Life of this duty; another domain tells lives apart by it.
     pub epoch: u32,
     /// When the duty began.
@@ -33,13 +33,13 @@
     /// True once the members have reported, or the time for it has passed.
     pub recovered: bool,
     /// True once the levels stand on the scale of the fleet.
-    pub anchored: bool,
+    pub aligned: bool,
     /// Instances of the domain that report here.
-    pub routers: BTreeMap<InstanceId, HomeRouter>,
+    pub routers: BTreeMap<InstanceId, CoordinatedRouter>,
     /// Instances whose adoption is not known, to be told so.
-    pub unknown: BTreeMap<InstanceId, (u32, Option<InstanceId>)>,
+    pub unregistered: BTreeMap<InstanceId, (u32, Option<InstanceId>)>,
     /// Teams that were ever reported.
-    pub teams: BTreeMap<TeamId, HomeTeam>,
+    pub teams: BTreeMap<TeamId, CoordinatedTeam>,
     /// Teams with requests that wait here and no grant under way, by effective level.
     pub order: BTreeSet<(Level, TeamId)>,
     /// The same for requests that wait in other domains.
@@ -47,7 +47,7 @@
     /// Frontier when a team last waited; an idle team comes in no lower.
     pub floor: Level,
     /// Homes of the service in other domains.
-    pub remotes: BTreeMap<DomainId, Remote>,
+    pub remotes: BTreeMap<DomainId, RemoteDomain>,
     /// When levels were last extrapolated.
     pub extrapolated: Timestamp,
     /// Slots of each upstream that are leased to instances of the domain.
@@ -63,17 +63,17 @@
     pub own_frontier: Option<Level>,
 }
 
-/// `HomeRouter` is one instance as its home sees it.
+/// `CoordinatedRouter` is one instance as its home sees it.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct HomeRouter {
+pub struct CoordinatedRouter {
     /// Its life.
     pub incarnation: Incarnation,
     /// Its adoption of this home.
-    pub adoption: u32,
+    pub registration: u32,
     /// Its last report.
     pub sequence: u32,
     /// Its leases.
-    pub slots: BTreeMap<UpstreamId, HomeSlot>,
+    pub slots: BTreeMap<UpstreamId, IssuedLease>,
     /// Its teams.
     pub teams: BTreeMap<TeamId, RouterTeam>,
     /// Grants by team that it has not confirmed.
@@ -81,9 +81,9 @@
     /// Leased slots that run nothing.
     pub idle_slots: u32,
     /// When it last reported.
-    pub heard: Timestamp,
+    pub last_seen: Timestamp,
     /// Instance over which its reports come.
-    pub over: Option<InstanceId>,
+    pub relay: Option<InstanceId>,
     /// When a grant was last sent to it.
     pub sent: Option<Timestamp>,
     /// Frontier that it was last told.
@@ -91,14 +91,14 @@
     /// Slots that it was last told to keep.
     pub sent_keep_slots: u32,
     /// Report that it was last told was seen.
-    pub sent_seen: u32,
+    pub sent_acknowledgement: u32,
     /// True when it should hear at once.
     pub urgent: bool,
 }
 
-/// `HomeSlot` is a lease of one instance as its home sees it.
+/// `IssuedLease` is a lease of one instance as its home sees it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct HomeSlot {
+pub struct IssuedLease {
     /// The numbers.
     pub lease: SlotLease,
     /// Grants that the instance has confirmed.
@@ -116,19 +116,19 @@
     pub sent_level: Option<Level>,
 }
 
-/// `HomeTeam` is one team as a home sees it.
+/// `CoordinatedTeam` is one team as a home sees it.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct HomeTeam {
+pub struct CoordinatedTeam {
     /// Level over the whole fleet, as far as known.
     pub level: Level,
     /// True once the level stands on the scale of the home's other levels.
-    pub is_known: bool,
+    pub is_level_known: bool,
     /// True while the level is what instances went by under the home before, less any debt.
-    pub is_effective: bool,
+    pub is_inherited: bool,
     /// Part of the level that is repaid bit by bit.
     pub debt: Level,
     /// Level that remote service has likely added since the last reports.
-    pub ahead: Level,
+    pub remote_estimate: Level,
     /// Service in this domain since the epoch, in cost units; corrections may lower it.
     pub served_cost: i64,
     /// Instances where requests wait.
@@ -150,18 +150,18 @@
 }
 
 /// `effective_level` is the level that the order goes by.
-pub fn effective_level(team: &HomeTeam) -> Level {
-    team.level - team.debt + team.ahead
+pub fn effective_level(team: &CoordinatedTeam) -> Level {
+    team.level - team.debt + team.remote_estimate
 }
 
-/// `home_of` is the instance of this domain that holds the duty for a service.
+/// `coordinator_of` is the instance of this domain that holds the duty for a service.
 ///
 /// In a domain with many more instances than services no instance holds two: the services choose in
 /// the order of their ids, each the first of its own order that no one before has chosen. Left to
 /// chance, one instance of 47 is the home of four services of nine, and sends four times as much.
 /// With few instances each service has its first, because the loss of one home would else move
 /// others too.
-pub fn home_of(tables: &Tables, service: ServiceId) -> InstanceId {
+pub fn coordinator_of(tables: &Tables, service: ServiceId) -> InstanceId {
     let own = tables.options.instance;
     let mut live: Vec<InstanceId> = tables
         .members
@@ -174,16 +174,16 @@
         live.push(own);
     }
     let services = &tables.index.services;
-    if services.len() * SPREADING_INSTANCES <= live.len() {
+    if services.len() * SPREAD_INSTANCES_PER_SERVICE <= live.len() {
         for earlier in services.iter().take_while(|earlier| **earlier != service) {
-            let chosen = first_of(&live, *earlier);
+            let chosen = highest_weight(&live, *earlier);
             live.retain(|instance| Some(*instance) != chosen);
         }
     }
-    first_of(&live, service).unwrap_or(own)
+    highest_weight(&live, service).unwrap_or(own)
 }
 
-fn first_of(instances: &[InstanceId], service: ServiceId) -> Option<InstanceId> {
+fn highest_weight(instances: &[InstanceId], service: ServiceId) -> Option<InstanceId> {
     instances.iter().copied().max_by_key(|instance| (weight(*instance, service), *instance))
 }
 
@@ -199,19 +199,20 @@
 ///
 /// A new home that took them to be at zero would take all others to be far ahead, and give every
 /// slot to the newcomers.
-pub fn end_recovery(home: &mut Home, limit: Level) {
-    home.recovered = true;
-    let told = home.teams.values().filter(|team| team.is_known && team.waiting_requests != 0);
-    let mut told: Vec<Level> = told.map(effective_level).collect();
-    told.sort_unstable();
+pub fn end_recovery(coordinator: &mut Coordinator, limit: Level) {
+    coordinator.recovered = true;
+    let reported =
+        coordinator.teams.values().filter(|team| team.is_level_known && team.waiting_requests != 0);
+    let mut reported: Vec<Level> = reported.map(effective_level).collect();
+    reported.sort_unstable();
     // One team far below the others would make all others leads to be repaid.
-    let lowest = told.get(told.len() / 2).map(|middle| told[0].max(middle - limit));
-    let remote = home.remotes.values().filter_map(|remote| remote.frontier).min();
-    home.floor = lowest.or(remote).unwrap_or(home.floor);
-    for team in home.teams.values_mut() {
-        if !team.is_known || team.waiting_requests != 0 {
-            lift(team, home.floor);
-            team.is_known = true;
+    let lowest = reported.get(reported.len() / 2).map(|middle| reported[0].max(middle - limit));
+    let remote = coordinator.remotes.values().filter_map(|remote| remote.frontier).min();
+    coordinator.floor = lowest.or(remote).unwrap_or(coordinator.floor);
+    for team in coordinator.teams.values_mut() {
+        if !team.is_level_known || team.waiting_requests != 0 {
+            raise_to_floor(team, coordinator.floor);
+            team.is_level_known = true;
         }
     }
 }
@@ -221,7 +222,7 @@
 const REPAYMENT_DIVISOR: i64 = 2;
 
 /// `add_level` raises a team's level by service and repays some debt.
-pub fn add_level(team: &mut HomeTeam, level: Level) {
+pub fn add_level(team: &mut CoordinatedTeam, level: Level) {
     team.level += level;
     team.debt -= (level.max(0) / REPAYMENT_DIVISOR).min(team.debt);
 }
@@ -232,30 +233,34 @@
 /// others. By level alone the former would get nothing until all others have caught up, which their
 /// callers see as an outage. With the limit they wait a moment at most, and repay the rest bit by
 /// bit. One home decides and tells the others, so that homes agree on the order.
-pub fn cap_leads(tables: &Tables, service: ServiceId, home: &mut Home) {
+pub fn cap_leads(tables: &Tables, service: ServiceId, coordinator: &mut Coordinator) {
     if !tables.options.share_guards.caps_leads
-        || !home.recovered
-        || spills::reference(tables, home) != tables.options.domain
+        || !coordinator.recovered
+        || spills::reference_domain(tables, coordinator) != tables.options.domain
     {
         return;
     }
     let limit = requests_level(tables, service, tables.options.lead_limit_requests);
-    let local = home.order.first().map(|(level, _)| *level);
+    let local = coordinator.order.first().map(|(level, _)| *level);
     // A domain out of reach does not move. Measured against it all teams here would stand at the
     // limit alike, and their order among themselves would be lost.
-    let remote = home
+    let remote = coordinator
         .remote_order
         .iter()
         .find(|(_, domain, _)| {
-            home.remotes.get(domain).is_some_and(|remote| !spills::is_silent(tables, remote))
+            coordinator
+                .remotes
+                .get(domain)
+                .is_some_and(|remote| !spills::is_unreachable(tables, remote))
         })
         .map(|(level, _, _)| *level);
     let Some(lowest) = local.into_iter().chain(remote).min() else { return };
     let top = lowest + limit;
     let mut leading: Vec<(Level, TeamId)> =
-        home.order.iter().rev().take_while(|(level, _)| top < *level).copied().collect();
+        coordinator.order.iter().rev().take_while(|(level, _)| top < *level).copied().collect();
     leading.extend(
-        home.remote_order
+        coordinator
+            .remote_order
             .iter()
             .rev()
             .take_while(|(level, _, _)| top < *level)
@@ -265,17 +270,17 @@
     leading.dedup_by_key(|(_, team)| *team);
     let estimate = crate::fairness::accounts::service_estimate(tables, service);
     for (_, team) in leading {
-        if let Some(entry) = home.teams.get_mut(&team) {
+        if let Some(entry) = coordinator.teams.get_mut(&team) {
             // The key also holds what is granted and not yet charged; that is no service.
             entry.debt += (effective_level(entry) - top).max(0);
-            entry.changed = home.sequence + 1;
+            entry.changed = coordinator.sequence + 1;
         }
-        reindex(home, &tables.teams, team, estimate);
+        reindex(coordinator, &tables.teams, team, estimate);
     }
 }
 
-/// `lift` brings a team up to a level, if it is below.
-pub fn lift(team: &mut HomeTeam, floor: Level) {
+/// `raise_to_floor` brings a team up to a level, if it is below.
+pub fn raise_to_floor(team: &mut CoordinatedTeam, floor: Level) {
     let missing = floor - (team.level - team.debt);
     if 0 < missing {
         let repaid = missing.min(team.debt);
@@ -285,26 +290,31 @@
 }
 
 /// `reindex` puts a team where it belongs in the orders.
-pub fn reindex(home: &mut Home, teams: &HashMap<TeamId, Team>, team: TeamId, estimate: u64) {
-    let Some(entry) = home.teams.get_mut(&team) else { return };
+pub fn reindex(
+    coordinator: &mut Coordinator,
+    teams: &HashMap<TeamId, Team>,
+    team: TeamId,
+    estimate: u64,
+) {
+    let Some(entry) = coordinator.teams.get_mut(&team) else { return };
     let share = share_of(teams, team);
     if let Some(key) = entry.key.take() {
-        home.order.remove(&(key, team));
+        coordinator.order.remove(&(key, team));
     }
     for (key, domain) in entry.remote_keys.drain(..) {
-        home.remote_order.remove(&(key, domain, team));
+        coordinator.remote_order.remove(&(key, domain, team));
     }
-    let under_way: u32 = entry.outstanding + entry.lent.values().sum::<u32>();
-    let provisional = level_of_cost(i64::from(under_way) * estimate as i64, share);
+    let in_flight: u32 = entry.outstanding + entry.lent.values().sum::<u32>();
+    let provisional = level_of_cost(i64::from(in_flight) * estimate as i64, share);
     let level = effective_level(entry) + provisional;
     if entry.outstanding < entry.waiting_requests {
         entry.key = Some(level);
-        home.order.insert((level, team));
+        coordinator.order.insert((level, team));
     }
     for (domain, waiting) in &entry.remote_waiting {
         if entry.lent.get(domain).copied().unwrap_or(0) < *waiting {
             entry.remote_keys.push((level, *domain));
-            home.remote_order.insert((level, *domain, team));
+            coordinator.remote_order.insert((level, *domain, team));
         }
     }
 }
--- a/crates/bergamotpitch-control/src/fairness/domain_reports.rs
+++ b/crates/bergamotpitch-control/src/fairness/domain_reports.rs
@@ -7,13 +7,15 @@
 use bergamotpitch_core::units::Timestamp;
 
 use crate::fairness::accounts;
-use crate::fairness::homes::{self, Home, HomeTeam, add_level, lift, reindex, weight};
+use crate::fairness::coordinators::{
+    self, CoordinatedTeam, Coordinator, add_level, raise_to_floor, reindex, weight,
+};
 use crate::fairness::leases::{SlotLease, held};
 use crate::fairness::levels::{LEVEL_SCALE, Level, level_of_cost, share_of};
 use crate::fairness::share_messages::{
-    DomainReport, DomainTeamLine, GrantLine, PassedDomainReport, SERVED_QUANTUM, SlotLine,
+    DomainReport, DomainTeamLine, GrantLine, RelayedDomainReport, SERVED_QUANTUM, SlotLine,
 };
-use crate::fairness::spills::{self, CUT_OFF_TIME, PreviousLife, Remote, RemoteTeam};
+use crate::fairness::spills::{self, DOMAIN_TIMEOUT, PreviousEpoch, RemoteDomain, RemoteTeam};
 use crate::inputs::Sender;
 use crate::messages::Message;
 use crate::outputs::Output;
@@ -38,34 +40,43 @@
 const MERGE_DIVISOR: i64 = 8;
 
 /// Shortest time over which the rate of remote service is taken.
-const RATE_TIME: Duration = Duration::from_millis(800);
+const MIN_RATE_WINDOW: Duration = Duration::from_millis(800);
 
 /// Shortest time between two reports to one domain.
-const SPACING: Duration = Duration::from_millis(100);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// `run` reports to the other domains, within the budget of bytes.
-pub fn run(tables: &Tables, service: ServiceId, home: &mut Home, outputs: &mut Vec<Output>) {
+pub fn run(
+    tables: &Tables,
+    service: ServiceId,
+    coordinator: &mut Coordinator,
+    outputs: &mut Vec<Output>,
+) {
     // Until it is recovered a home has no levels that others could go by.
-    if !home.recovered || !tables.index.repeatable.contains(&service) && home.order.is_empty() {
+    if !coordinator.recovered
+        || !tables.index.repeatable.contains(&service) && coordinator.order.is_empty()
+    {
         return;
     }
     for domain in tables.index.domains.iter().copied() {
         if domain == tables.options.domain {
             continue;
         }
-        let Some(to) = peer(tables, service, home.remotes.get(&domain), domain) else { continue };
-        let remote = home.remotes.entry(domain).or_default();
-        if !is_due(tables.now, remote, home.frontier.is_some()) {
+        let Some(to) = recipient(tables, service, coordinator.remotes.get(&domain), domain) else {
+            continue;
+        };
+        let remote = coordinator.remotes.entry(domain).or_default();
+        if !is_due(tables.now, remote, coordinator.frontier.is_some()) {
             continue;
         }
-        let report = build(tables, service, home, domain);
+        let report = build_report(tables, service, coordinator, domain);
         outputs.push(Output::Send { to, message: Message::DomainReport(report) });
     }
 }
 
-fn is_due(now: Timestamp, remote: &Remote, is_contended: bool) -> bool {
+fn is_due(now: Timestamp, remote: &RemoteDomain, is_contended: bool) -> bool {
     let Some(sent) = remote.sent else { return true };
-    if now < sent + SPACING {
+    if now < sent + MIN_REPORT_INTERVAL {
         return false;
     }
     if remote.urgent {
@@ -76,14 +87,14 @@
 }
 
 /// The home there that was heard last, else any member there: it passes the report on.
-fn peer(
+fn recipient(
     tables: &Tables,
     service: ServiceId,
-    remote: Option<&Remote>,
+    remote: Option<&RemoteDomain>,
     domain: DomainId,
 ) -> Option<SocketAddr> {
     if let Some(remote) = remote
-        && !spills::is_silent(tables, remote)
+        && !spills::is_unreachable(tables, remote)
         && remote.address.is_some()
     {
         return remote.address;
@@ -96,15 +107,20 @@
         .map(|(_, member)| member.address)
 }
 
-fn build(tables: &Tables, service: ServiceId, home: &mut Home, domain: DomainId) -> DomainReport {
-    spills::allow(tables, service, home, domain);
-    home.sequence += 1;
-    let frontier = home.order.first().map(|(level, _)| *level);
+fn build_report(
+    tables: &Tables,
+    service: ServiceId,
+    coordinator: &mut Coordinator,
+    domain: DomainId,
+) -> DomainReport {
+    spills::update_allowance(tables, service, coordinator, domain);
+    coordinator.sequence += 1;
+    let frontier = coordinator.order.first().map(|(level, _)| *level);
     let base = frontier.unwrap_or(0);
-    let Some(remote) = home.remotes.get_mut(&domain) else { return DomainReport::default() };
+    let Some(remote) = coordinator.remotes.get_mut(&domain) else { return DomainReport::default() };
     let mut teams = Vec::new();
-    for (team, entry) in &home.teams {
-        if entry.changed <= remote.seen && remote.seen != 0 {
+    for (team, entry) in &coordinator.teams {
+        if entry.changed <= remote.acknowledged_sequence && remote.acknowledged_sequence != 0 {
             continue;
         }
         let Some(short_team) = tables.index.short_of(*team) else { continue };
@@ -112,7 +128,7 @@
             short_team,
             served: (entry.served_cost.max(0) as u64 / SERVED_QUANTUM) as u32,
             waiting_requests: entry.waiting_requests,
-            level: spills::level_in_cost(entry.level + entry.ahead - base),
+            level: spills::level_in_cost(entry.level + entry.remote_estimate - base),
             debt: spills::level_in_cost(entry.debt).max(0) as u32,
         });
     }
@@ -125,7 +141,7 @@
     let borrowed = remote
         .borrowed
         .iter()
-        .filter(|(_, lease)| remote.seen < lease.changed)
+        .filter(|(_, lease)| remote.acknowledged_sequence < lease.changed)
         .map(|(upstream, lease)| SlotLine {
             upstream: *upstream,
             base: lease.base,
@@ -144,10 +160,10 @@
     remote.urgent = false;
     DomainReport {
         service,
-        epoch: home.epoch,
+        epoch: coordinator.epoch,
         peer_epoch: remote.epoch,
-        sequence: home.sequence,
-        seen: remote.sequence,
+        sequence: coordinator.sequence,
+        acknowledged_sequence: remote.sequence,
         frontier,
         allowed_slots: remote.allowed,
         teams,
@@ -161,74 +177,80 @@
     if sender.domain == tables.options.domain {
         return;
     }
-    if !tables.homes.contains_key(&report.service) {
-        pass_on(tables, sender, report, outputs);
+    if !tables.coordinators.contains_key(&report.service) {
+        forward(tables, sender, report, outputs);
         return;
     }
-    take(tables, sender, report);
+    accept(tables, sender, report);
 }
 
-/// `apply_passed` takes a domain report that another instance of this domain passed on.
-pub fn apply_passed(tables: &mut Tables, passed: PassedDomainReport) {
-    let PassedDomainReport { instance, incarnation, domain, address, report } = passed;
+/// `apply_relayed` takes a domain report that another instance of this domain passed on.
+pub fn apply_relayed(tables: &mut Tables, relayed: RelayedDomainReport) {
+    let RelayedDomainReport { instance, incarnation, domain, address, report } = relayed;
     if domain != tables.options.domain {
-        take(tables, Sender { instance, incarnation, domain, address }, report);
+        accept(tables, Sender { instance, incarnation, domain, address }, report);
     }
 }
 
-fn pass_on(tables: &Tables, sender: Sender, report: DomainReport, outputs: &mut Vec<Output>) {
-    let holder = homes::home_of(tables, report.service);
-    let Some(member) = tables.members.get(&holder) else { return };
+fn forward(tables: &Tables, sender: Sender, report: DomainReport, outputs: &mut Vec<Output>) {
+    let coordinator_id = coordinators::coordinator_of(tables, report.service);
+    let Some(member) = tables.members.get(&coordinator_id) else { return };
     let Sender { instance, incarnation, domain, address } = sender;
-    let passed = PassedDomainReport { instance, incarnation, domain, address, report };
-    outputs.push(Output::Send { to: member.address, message: Message::PassedDomainReport(passed) });
+    let relayed = RelayedDomainReport { instance, incarnation, domain, address, report };
+    outputs
+        .push(Output::Send { to: member.address, message: Message::RelayedDomainReport(relayed) });
 }
 
-fn take(tables: &mut Tables, sender: Sender, report: DomainReport) {
-    let Some(mut home) = tables.homes.remove(&report.service) else { return };
+fn accept(tables: &mut Tables, sender: Sender, report: DomainReport) {
+    let Some(mut coordinator) = tables.coordinators.remove(&report.service) else { return };
     let service = report.service;
-    take_report(tables, &mut home, sender, report);
-    tables.homes.insert(service, home);
+    merge_report(tables, &mut coordinator, sender, report);
+    tables.coordinators.insert(service, coordinator);
 }
 
-fn take_report(tables: &Tables, home: &mut Home, sender: Sender, report: DomainReport) {
-    let next = home.sequence + 1;
-    let is_first = home.remotes.get(&sender.domain).is_none_or(|remote| remote.epoch == 0);
-    let remote = home.remotes.entry(sender.domain).or_default();
+fn merge_report(
+    tables: &Tables,
+    coordinator: &mut Coordinator,
+    sender: Sender,
+    report: DomainReport,
+) {
+    let next = coordinator.sequence + 1;
+    let is_first = coordinator.remotes.get(&sender.domain).is_none_or(|remote| remote.epoch == 0);
+    let remote = coordinator.remotes.entry(sender.domain).or_default();
     let is_same = (remote.instance, remote.epoch) == (sender.instance, report.epoch);
     if is_same && report.sequence <= remote.sequence {
         return;
     }
     if !is_same {
-        begin_life(remote, sender.instance, report.epoch, next);
-        for entry in home.teams.values_mut() {
+        begin_epoch(remote, sender.instance, report.epoch, next);
+        for entry in coordinator.teams.values_mut() {
             entry.lent.remove(&sender.domain);
         }
     }
-    let silence = tables.now.saturating_sub(remote.heard);
-    let is_rejoin = !is_first && CUT_OFF_TIME < silence;
+    let unseen_time = tables.now.saturating_sub(remote.last_seen);
+    let is_rejoin = !is_first && DOMAIN_TIMEOUT < unseen_time;
     remote.frontier = report.frontier;
     remote.sequence = report.sequence;
     remote.address = Some(sender.address);
-    remote.heard = tables.now;
-    if report.peer_epoch == home.epoch {
-        take_slots(remote, &report, next);
+    remote.last_seen = tables.now;
+    if report.peer_epoch == coordinator.epoch {
+        merge_slots(remote, &report, next);
         if remote.lent.values().all(|slot| slot.confirmed == slot.lease.granted) {
             remote.outstanding.clear();
-            for entry in home.teams.values_mut() {
+            for entry in coordinator.teams.values_mut() {
                 entry.lent.remove(&sender.domain);
             }
         }
     }
-    if !home.anchored {
-        anchor(home, report.frontier);
+    if !coordinator.aligned {
+        align_levels(coordinator, report.frontier);
     }
-    take_teams(tables, home, sender.domain, &report, (is_first, is_rejoin));
-    home.changed = true;
+    merge_teams(tables, coordinator, sender.domain, &report, (is_first, is_rejoin));
+    coordinator.changed = true;
 }
 
-fn begin_life(remote: &mut Remote, instance: InstanceId, epoch: u32, next: u32) {
-    let old = PreviousLife {
+fn begin_epoch(remote: &mut RemoteDomain, instance: InstanceId, epoch: u32, next: u32) {
+    let old = PreviousEpoch {
         instance: remote.instance,
         epoch: remote.epoch,
         teams: std::mem::take(&mut remote.teams),
@@ -244,7 +266,7 @@
     remote.instance = instance;
     remote.epoch = epoch;
     remote.sequence = 0;
-    remote.seen = 0;
+    remote.acknowledged_sequence = 0;
     remote.lent.clear();
     remote.outstanding.clear();
     for lease in remote.borrowed.values_mut() {
@@ -252,8 +274,8 @@
     }
 }
 
-fn take_slots(remote: &mut Remote, report: &DomainReport, next: u32) {
-    remote.seen = remote.seen.max(report.seen);
+fn merge_slots(remote: &mut RemoteDomain, report: &DomainReport, next: u32) {
+    remote.acknowledged_sequence = remote.acknowledged_sequence.max(report.acknowledged_sequence);
     remote.allowed_here = report.allowed_slots;
     for line in &report.lent {
         let lease = remote.borrowed.entry(line.upstream).or_default();
@@ -271,60 +293,60 @@
     }
 }
 
-/// `anchor` brings the levels of a home that began without memory onto the scale of the fleet.
-fn anchor(home: &mut Home, frontier: Option<Level>) {
+/// `align_levels` brings the levels of a home that began without memory onto the scale of the fleet.
+fn align_levels(coordinator: &mut Coordinator, frontier: Option<Level>) {
     let Some(frontier) = frontier else { return };
-    home.anchored = true;
-    let own = home.order.first().map_or(home.floor, |(level, _)| *level);
+    coordinator.aligned = true;
+    let own = coordinator.order.first().map_or(coordinator.floor, |(level, _)| *level);
     let shift = frontier - own;
     if shift <= 0 {
         return;
     }
-    home.floor += shift;
-    for entry in home.teams.values_mut() {
+    coordinator.floor += shift;
+    for entry in coordinator.teams.values_mut() {
         entry.level += shift;
     }
-    for router in home.routers.values_mut() {
+    for router in coordinator.routers.values_mut() {
         router.urgent = true;
         router.teams.values_mut().for_each(|team| team.sent_level = None);
     }
 }
 
-fn take_teams(
+fn merge_teams(
     tables: &Tables,
-    home: &mut Home,
+    coordinator: &mut Coordinator,
     domain: DomainId,
     report: &DomainReport,
     (is_first, is_rejoin): (bool, bool),
 ) {
     let base = report.frontier.unwrap_or(0);
-    let is_reference = spills::reference(tables, home) == domain;
+    let is_reference = spills::reference_domain(tables, coordinator) == domain;
     let mut touched: Vec<TeamId> = Vec::new();
     for line in &report.teams {
         let Some(team) = tables.index.team_of_short(line.short_team) else { continue };
-        let Some(remote) = home.remotes.get_mut(&domain) else { return };
+        let Some(remote) = coordinator.remotes.get_mut(&domain) else { return };
         let known = remote.teams.entry(team).or_default();
         let cost = i64::from(line.served) - i64::from(known.served);
         let cost = if is_first { 0 } else { cost * SERVED_QUANTUM as i64 };
-        note_rate(tables.now, known, line.served, cost, is_first || is_rejoin);
+        update_rate(tables.now, known, line.served, cost, is_first || is_rejoin);
         let level = level_of_cost(cost, share_of(&tables.teams, team));
-        let floor = home.floor;
-        let entry = home.teams.entry(team).or_default();
-        if home.recovered && !entry.is_known {
-            lift(entry, floor);
-            entry.is_known = true;
+        let floor = coordinator.floor;
+        let entry = coordinator.teams.entry(team).or_default();
+        if coordinator.recovered && !entry.is_level_known {
+            raise_to_floor(entry, floor);
+            entry.is_level_known = true;
         }
         if line.waiting_requests == 0 {
             entry.remote_waiting.remove(&domain);
         } else {
             entry.remote_waiting.insert(domain, line.waiting_requests);
         }
-        entry.ahead = 0;
+        entry.remote_estimate = 0;
         add_level(entry, level);
-        let told = base + i64::from(line.level) * LEVEL_SCALE;
+        let reported = base + i64::from(line.level) * LEVEL_SCALE;
         let debt = i64::from(line.debt) * LEVEL_SCALE;
         if line.waiting_requests != 0 {
-            merge_level(entry, told, debt);
+            merge_level(entry, reported, debt);
         }
         if is_reference {
             entry.debt = debt;
@@ -333,7 +355,7 @@
     }
     let estimate = accounts::service_estimate(tables, report.service);
     for team in touched {
-        reindex(home, &tables.teams, team, estimate);
+        reindex(coordinator, &tables.teams, team, estimate);
     }
 }
 
@@ -343,33 +365,39 @@
 /// comes again as a sum from a third domain. Where the team waits only elsewhere, the other home
 /// knows best. Where it waits here too, levels draw together slowly, which heals counts that were
 /// lost with a home.
-fn merge_level(entry: &mut HomeTeam, told: Level, debt: Level) {
-    if entry.is_effective {
+fn merge_level(entry: &mut CoordinatedTeam, reported: Level, debt: Level) {
+    if entry.is_inherited {
         // The level came from instances that were never told of the debt.
-        (entry.level, entry.debt) = (told.max(entry.level + debt), debt);
-    } else if !entry.is_known || entry.waiting_requests == 0 {
-        (entry.level, entry.debt) = (told, debt);
+        (entry.level, entry.debt) = (reported.max(entry.level + debt), debt);
+    } else if !entry.is_level_known || entry.waiting_requests == 0 {
+        (entry.level, entry.debt) = (reported, debt);
     } else {
-        entry.level += (told - entry.level) / MERGE_DIVISOR;
+        entry.level += (reported - entry.level) / MERGE_DIVISOR;
     }
-    entry.is_known = true;
-    entry.is_effective = false;
+    entry.is_level_known = true;
+    entry.is_inherited = false;
 }
 
-fn note_rate(now: Timestamp, known: &mut RemoteTeam, served: u32, cost: i64, is_jump: bool) {
+fn update_rate(
+    now: Timestamp,
+    known: &mut RemoteTeam,
+    served: u32,
+    cost: i64,
+    restarts_window: bool,
+) {
     known.served = served;
-    known.heard = now;
-    let age = now.saturating_sub(known.rate_taken);
-    if is_jump {
-        (known.rate_cost, known.rate_taken) = (0, now);
+    known.last_seen = now;
+    let age = now.saturating_sub(known.rate_updated);
+    if restarts_window {
+        (known.rate_cost, known.rate_updated) = (0, now);
         return;
     }
     known.rate_cost += cost;
     // Two reports close together say nothing about the rate.
-    if age < RATE_TIME {
+    if age < MIN_RATE_WINDOW {
         return;
     }
     let rate = known.rate_cost.max(0) as f64 / age.as_secs_f64();
     known.rate = if known.rate == 0.0 { rate } else { known.rate * 0.5 + rate * 0.5 };
-    (known.rate_cost, known.rate_taken) = (0, now);
+    (known.rate_cost, known.rate_updated) = (0, now);
 }
--- a/crates/bergamotpitch-control/src/fairness/leases.rs
+++ b/crates/bergamotpitch-control/src/fairness/leases.rs
@@ -33,15 +33,15 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Leases {
     /// The home that they come from.
-    pub home: Option<InstanceId>,
+    pub coordinator: Option<InstanceId>,
     /// Life of the home.
-    pub home_incarnation: Incarnation,
+    pub coordinator_incarnation: Incarnation,
     /// Number of this adoption of a home; grants for another adoption are passed over.
-    pub adoption: u32,
+    pub registration: u32,
     /// Number of the last report.
     pub sequence: u32,
     /// Number of the last report that the home has seen.
-    pub seen: u32,
+    pub acknowledged_sequence: u32,
     /// Leases by upstream.
     pub slots: BTreeMap<UpstreamId, SlotLease>,
     /// What the home was told and has told of each team.
@@ -57,13 +57,13 @@
     /// Idle slots that may be kept while nobody waits.
     pub keep_slots: u32,
     /// Instance over which reports go; none when they go straight to the home.
-    pub detour: Option<InstanceId>,
+    pub relay: Option<InstanceId>,
     /// When the detour was last changed.
-    pub detoured: Option<Timestamp>,
+    pub relay_changed: Option<Timestamp>,
     /// When the home last said that it saw a report.
-    pub answered: Option<Timestamp>,
+    pub acknowledged_at: Option<Timestamp>,
     /// When the home was last heard.
-    pub heard: Option<Timestamp>,
+    pub last_seen: Option<Timestamp>,
     /// When the last report was sent.
     pub sent: Option<Timestamp>,
     /// True when the home should hear at once.
@@ -91,25 +91,25 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LeaseTeam {
     /// Level without the service received here, when the home has told it.
-    pub elsewhere: Option<Level>,
+    pub external_level: Option<Level>,
     /// When it was told.
-    pub told: Timestamp,
+    pub level_received: Timestamp,
     /// Requests that wait here, as last reported.
     pub waiting_requests: u32,
     /// Number of the report that first carried the present numbers.
     pub changed: u32,
     /// Number of the last report that named the team.
-    pub named: u32,
+    pub last_reported: u32,
     /// Number of the report that first named the team in this adoption; 0 when none has.
-    pub first_named: u32,
+    pub first_reported: u32,
     /// Service received here when charges were last looked at, in cost units.
-    pub noted_cost: CostUnits,
+    pub recorded_cost: CostUnits,
     /// Service received here as last told, in cost units.
-    pub told_cost: CostUnits,
+    pub reported_cost: CostUnits,
     /// Service received here before this adoption, in cost units; none when none was received since.
     pub base_cost: Option<CostUnits>,
     /// Times in a row that the oldest request here was passed over for a cached prefix.
-    pub passed_over: u32,
+    pub skipped: u32,
 }
 
 /// `held` is how many slots of an upstream this instance holds.
@@ -117,18 +117,23 @@
     (lease.base + lease.granted).saturating_sub(lease.returned)
 }
 
-/// `adopt` takes a new home for a service; slots held stay held.
-pub fn adopt(leases: &mut Leases, home: InstanceId, incarnation: Incarnation, own: Incarnation) {
-    leases.home = Some(home);
-    leases.home_incarnation = incarnation;
-    leases.detour = None;
-    leases.detoured = None;
+/// `register` takes a new home for a service; slots held stay held.
+pub fn register(
+    leases: &mut Leases,
+    coordinator: InstanceId,
+    incarnation: Incarnation,
+    own: Incarnation,
+) {
+    leases.coordinator = Some(coordinator);
+    leases.coordinator_incarnation = incarnation;
+    leases.relay = None;
+    leases.relay_changed = None;
     // A restarted instance must not reuse the numbers of its earlier life: the home would take old
     // grants for new ones.
-    leases.adoption =
-        leases.adoption.wrapping_add(1).max(((own as u32) & 0xffff).wrapping_shl(12).max(1));
+    leases.registration =
+        leases.registration.wrapping_add(1).max(((own as u32) & 0xffff).wrapping_shl(12).max(1));
     leases.sequence = 0;
-    leases.seen = 0;
+    leases.acknowledged_sequence = 0;
     leases.slots.retain(|_, lease| held(lease) != 0);
     for lease in leases.slots.values_mut() {
         *lease = SlotLease { base: held(lease), changed: 1, ..SlotLease::default() };
@@ -137,8 +142,8 @@
     // thousands of teams would otherwise have to name them all, in messages too large to be sent.
     for team in leases.teams.values_mut() {
         team.changed = u32::from(team.waiting_requests != 0);
-        team.named = 0;
-        team.first_named = 0;
+        team.last_reported = 0;
+        team.first_reported = 0;
         team.base_cost = None;
     }
     leases.changed = true;
@@ -149,23 +154,25 @@
 pub fn apply_grant(tables: &mut Tables, sender: InstanceId, grant: ShareGrant) {
     let now = tables.now;
     let Some(leases) = tables.leases.get_mut(&grant.service) else { return };
-    let is_expected = leases.home == Some(sender) || leases.detour == Some(sender);
-    if !is_expected || leases.adoption != grant.adoption {
+    let is_expected = leases.coordinator == Some(sender) || leases.relay == Some(sender);
+    if !is_expected || leases.registration != grant.registration {
         return;
     }
     if grant.is_unknown {
-        let (incarnation, own) = (leases.home_incarnation, tables.options.incarnation);
-        let home = leases.home.unwrap_or(sender);
-        let detour = leases.detour;
-        adopt(leases, home, incarnation, own);
-        leases.detour = detour;
+        let (incarnation, own) = (leases.coordinator_incarnation, tables.options.incarnation);
+        let coordinator = leases.coordinator.unwrap_or(sender);
+        let relay = leases.relay;
+        register(leases, coordinator, incarnation, own);
+        leases.relay = relay;
         return;
     }
-    leases.heard = Some(now);
-    if leases.seen < grant.report_seen || leases.sequence == grant.report_seen {
-        leases.answered = Some(now);
+    leases.last_seen = Some(now);
+    if leases.acknowledged_sequence < grant.acknowledged_report
+        || leases.sequence == grant.acknowledged_report
+    {
+        leases.acknowledged_at = Some(now);
     }
-    leases.seen = leases.seen.max(grant.report_seen);
+    leases.acknowledged_sequence = leases.acknowledged_sequence.max(grant.acknowledged_report);
     for line in &grant.granted {
         let next = leases.sequence + 1;
         let lease = leases.slots.entry(line.upstream).or_default();
@@ -180,7 +187,7 @@
         }
     }
     // An old grant that comes late must not bring an old frontier back.
-    if grant.report_seen < leases.seen {
+    if grant.acknowledged_report < leases.acknowledged_sequence {
         return;
     }
     leases.frontier = grant.frontier;
@@ -189,8 +196,8 @@
     leases.recalling = grant.recalling;
     for line in &grant.levels {
         let team = leases.teams.entry(line.team).or_default();
-        team.elsewhere = Some(line.level + grant.frontier.unwrap_or(0));
-        team.told = now;
+        team.external_level = Some(line.level + grant.frontier.unwrap_or(0));
+        team.level_received = now;
     }
 }
 
@@ -199,12 +206,14 @@
     let own = own_level(tables, key);
     let floor = leases.frontier.unwrap_or(0);
     let Some(team) = leases.teams.get(&key.team) else { return floor };
-    match team.elsewhere {
-        Some(elsewhere) if tables.now < team.told + paces::slowed(tables, LEVEL_LIFETIME) => {
-            elsewhere + own
+    match team.external_level {
+        Some(external_level)
+            if tables.now < team.level_received + paces::slowed(tables, LEVEL_LIFETIME) =>
+        {
+            external_level + own
         }
         // The team may have been idle: it comes in at the frontier, with no credit saved up.
-        Some(elsewhere) => floor.max(elsewhere + own),
+        Some(external_level) => floor.max(external_level + own),
         None => floor,
     }
 }
@@ -222,7 +231,8 @@
     domain: DomainId,
 ) -> Option<Level> {
     let frontier_lifetime = paces::slowed(tables, FRONTIER_LIFETIME);
-    let is_fresh = leases.heard.is_some_and(|heard| tables.now < heard + frontier_lifetime);
+    let is_fresh =
+        leases.last_seen.is_some_and(|last_seen| tables.now < last_seen + frontier_lifetime);
     if !is_fresh {
         return None;
     }
@@ -240,8 +250,8 @@
     (estimate * tables.options.slack_requests) as Level * crate::fairness::levels::LEVEL_SCALE
 }
 
-/// `give_back` returns idle slots to the home.
-pub fn give_back(leases: &mut Leases, upstream: UpstreamId, count: u32) {
+/// `return_slots` returns idle slots to the home.
+pub fn return_slots(leases: &mut Leases, upstream: UpstreamId, count: u32) {
     let next = leases.sequence + 1;
     let Some(lease) = leases.slots.get_mut(&upstream) else { return };
     lease.returned += count;
@@ -254,11 +264,11 @@
 /// `report` builds what the home has not seen yet.
 pub fn report(tables: &Tables, service: ServiceId, leases: &mut Leases, idle: u32) -> ShareReport {
     leases.sequence += 1;
-    let seen = leases.seen;
+    let acknowledged_sequence = leases.acknowledged_sequence;
     let slots = leases
         .slots
         .iter()
-        .filter(|(_, lease)| seen < lease.changed)
+        .filter(|(_, lease)| acknowledged_sequence < lease.changed)
         .map(|(upstream, lease)| SlotLine {
             upstream: *upstream,
             base: lease.base,
@@ -272,7 +282,7 @@
     leases.changed = leases.teams.values().any(|team| leases.sequence < team.changed);
     ShareReport {
         service,
-        adoption: leases.adoption,
+        registration: leases.registration,
         sequence: leases.sequence,
         idle_slots: idle,
         slots,
@@ -282,16 +292,16 @@
 
 /// Names teams that changed, the longest not named first.
 fn team_lines(tables: &Tables, service: ServiceId, leases: &mut Leases) -> Vec<TeamLine> {
-    let (seen, sequence) = (leases.seen, leases.sequence);
+    let (acknowledged_sequence, sequence) = (leases.acknowledged_sequence, leases.sequence);
     let mut changed: Vec<(u32, TeamId)> = leases
         .teams
         .iter()
-        .filter(|(_, team)| seen < team.changed)
-        .map(|(team, entry)| (entry.named, *team))
+        .filter(|(_, team)| acknowledged_sequence < team.changed)
+        .map(|(team, entry)| (entry.last_reported, *team))
         .collect();
     changed.sort_unstable();
-    let later = changed.split_off(changed.len().min(REPORT_TEAMS));
-    for (_, team) in later {
+    let deferred = changed.split_off(changed.len().min(REPORT_TEAMS));
+    for (_, team) in deferred {
         if let Some(entry) = leases.teams.get_mut(&team) {
             entry.changed = sequence + 1;
         }
@@ -301,16 +311,17 @@
         let key = QueueKey { service, team };
         let known_level = level(tables, leases, key);
         let Some(entry) = leases.teams.get_mut(&team) else { continue };
-        entry.named = sequence;
-        if entry.first_named == 0 {
-            entry.first_named = sequence;
+        entry.last_reported = sequence;
+        if entry.first_reported == 0 {
+            entry.first_reported = sequence;
         }
         let served_cost = tables.accounts.get(&key).copied().unwrap_or(0);
-        entry.told_cost = served_cost;
-        let is_first = seen < entry.first_named;
+        entry.reported_cost = served_cost;
+        let is_first = acknowledged_sequence < entry.first_reported;
         // A level told long ago would put its team far below all others at the new home.
-        let is_recent = entry.elsewhere.is_some() && tables.now < entry.told + INHERITED_LIFETIME;
-        let has_level = seen == 0 && is_recent && entry.waiting_requests != 0;
+        let is_recent = entry.external_level.is_some()
+            && tables.now < entry.level_received + INHERITED_LIFETIME;
+        let has_level = acknowledged_sequence == 0 && is_recent && entry.waiting_requests != 0;
         lines.push(TeamLine {
             team,
             waiting_requests: entry.waiting_requests,
--- a/crates/bergamotpitch-control/src/fairness/share_messages.rs
+++ b/crates/bergamotpitch-control/src/fairness/share_messages.rs
@@ -17,7 +17,7 @@
     /// The service.
     pub service: ServiceId,
     /// Number of the sender's adoption of this home.
-    pub adoption: u32,
+    pub registration: u32,
     /// Number of the report within the adoption.
     pub sequence: u32,
     /// Leased slots that run nothing.
@@ -63,11 +63,11 @@
     /// The service.
     pub service: ServiceId,
     /// Adoption that the numbers belong to.
-    pub adoption: u32,
+    pub registration: u32,
     /// True when the home does not know this adoption; the instance adopts it anew.
     pub is_unknown: bool,
     /// Number of the last report that the home has seen.
-    pub report_seen: u32,
+    pub acknowledged_report: u32,
     /// Slots granted since the adoption, of the upstreams whose number was not yet confirmed.
     pub granted: Vec<GrantLine>,
     /// Lowest level of a team that waits in the domain; none when none waits.
@@ -82,9 +82,9 @@
     pub levels: Vec<LevelLine>,
 }
 
-/// `PassedReport` is a share report that came over another instance.
+/// `RelayedReport` is a share report that came over another instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PassedReport {
+pub struct RelayedReport {
     /// Instance that it is from.
     pub instance: InstanceId,
     /// Its life.
@@ -93,18 +93,18 @@
     pub report: ShareReport,
 }
 
-/// `PassedGrant` is a grant that goes over another instance.
+/// `RelayedGrant` is a grant that goes over another instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PassedGrant {
+pub struct RelayedGrant {
     /// Instance that it is for.
     pub instance: InstanceId,
     /// The grant.
     pub grant: ShareGrant,
 }
 
-/// `PassedDomainReport` is a domain report that reached an instance that is not the home.
+/// `RelayedDomainReport` is a domain report that reached an instance that is not the home.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PassedDomainReport {
+pub struct RelayedDomainReport {
     /// Home that sent it.
     pub instance: InstanceId,
     /// Its life.
@@ -148,7 +148,7 @@
     /// Number of the report within the epoch.
     pub sequence: u32,
     /// Number of the last report of the receiver that the sender has seen.
-    pub seen: u32,
+    pub acknowledged_sequence: u32,
     /// Lowest level of a team that waits here; none when none waits.
     pub frontier: Option<Level>,
     /// Slots of the sender's domain that the receiver may hold in all.
--- a/crates/bergamotpitch-control/src/membership/gossips.rs
+++ b/crates/bergamotpitch-control/src/membership/gossips.rs
@@ -13,7 +13,7 @@
 use bergamotpitch_core::units::Timestamp;
 
 use crate::capacity::upstreams;
-use crate::fairness::homes::weight;
+use crate::fairness::coordinators::weight;
 use crate::messages::{Heartbeat, LeavingLine, MemberLine, Message};
 use crate::outputs::Output;
 use crate::tables::{Member, Tables};
@@ -92,7 +92,7 @@
 
 /// `run` sends heartbeats when they are due.
 pub fn run(tables: &mut Tables, outputs: &mut Vec<Output>) {
-    for upstream in std::mem::take(&mut tables.health.untold) {
+    for upstream in std::mem::take(&mut tables.health.unannounced) {
         tables.gossip.leaving_news.insert(upstream, NEWS_ROUNDS);
         tables.gossip.is_urgent = true;
     }
--- a/crates/bergamotpitch-control/src/messages.rs
+++ b/crates/bergamotpitch-control/src/messages.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::fairness::share_messages::{
-    DomainReport, PassedDomainReport, PassedGrant, PassedReport, ShareGrant, ShareReport,
+    DomainReport, RelayedDomainReport, RelayedGrant, RelayedReport, ShareGrant, ShareReport,
 };
 
 /// `Message` is what one instance tells another.
@@ -24,11 +24,11 @@
     /// What one domain tells another of a service.
     DomainReport(DomainReport),
     /// A share report of another instance, passed on to the home.
-    PassedReport(PassedReport),
+    RelayedReport(RelayedReport),
     /// A grant for another instance, to be passed on to it.
-    PassedGrant(PassedGrant),
+    RelayedGrant(RelayedGrant),
     /// What another domain told, passed on to the home.
-    PassedDomainReport(PassedDomainReport),
+    RelayedDomainReport(RelayedDomainReport),
 }
 
 /// `Heartbeat` says that the sender is alive and what it knows.
--- a/crates/bergamotpitch-control/src/steps.rs
+++ b/crates/bergamotpitch-control/src/steps.rs
@@ -6,7 +6,7 @@
 use crate::admission::{dispatches, requests};
 use crate::capacity::{upstreams, windows};
 use crate::configuration::{platforms, sheet_duties, sheet_indexes, sheets};
-use crate::fairness::{detours, domain_reports, leases, shares};
+use crate::fairness::{domain_reports, leases, relays, shares};
 use crate::inputs::Input;
 use crate::membership::members;
 use crate::messages::Message;
@@ -57,15 +57,17 @@
                 members::apply_heartbeat(tables, sender, heartbeat, outputs)
             }
             Message::ShareReport(report) => {
-                detours::apply_report(tables, sender, report, outputs);
+                relays::apply_report(tables, sender, report, outputs);
             }
-            Message::PassedReport(passed) => detours::apply_passed_report(tables, sender, passed),
-            Message::PassedGrant(passed) => detours::apply_passed_grant(tables, passed, outputs),
+            Message::RelayedReport(relayed) => {
+                relays::apply_relayed_report(tables, sender, relayed)
+            }
+            Message::RelayedGrant(relayed) => relays::apply_relayed_grant(tables, relayed, outputs),
             Message::ShareGrant(grant) => leases::apply_grant(tables, sender.instance, grant),
             Message::DomainReport(report) => {
                 domain_reports::apply(tables, sender, report, outputs);
             }
-            Message::PassedDomainReport(passed) => domain_reports::apply_passed(tables, passed),
+            Message::RelayedDomainReport(relayed) => domain_reports::apply_relayed(tables, relayed),
         },
         Input::LoadReported { upstream, report } => {
             upstreams::apply_load_report(tables, upstream, report, outputs);
--- a/crates/bergamotpitch-control/src/tables.rs
+++ b/crates/bergamotpitch-control/src/tables.rs
@@ -20,7 +20,7 @@
 use crate::configuration::sheet_duties::{SheetDuty, SheetGuards};
 use crate::configuration::sheet_indexes::SheetIndex;
 use crate::fairness::accounts::Estimate;
-use crate::fairness::homes::Home;
+use crate::fairness::coordinators::Coordinator;
 use crate::fairness::leases::Leases;
 use crate::fairness::shares::ShareGuards;
 use crate::inputs::Arrival;
@@ -157,7 +157,7 @@
     /// Leases that this instance holds, by service.
     pub leases: BTreeMap<ServiceId, Leases>,
     /// Duties that this instance has, by service.
-    pub homes: BTreeMap<ServiceId, Home>,
+    pub coordinators: BTreeMap<ServiceId, Coordinator>,
     /// Time of the first step.
     pub started: Option<Timestamp>,
     /// When the fair shares last ran.
--- a/crates/bergamotpitch-control/tests/home_spread.rs
+++ b/crates/bergamotpitch-control/tests/coordinator_spread.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use bergamotpitch_control::fairness::homes::home_of;
+use bergamotpitch_control::fairness::coordinators::coordinator_of;
 use bergamotpitch_control::tables::Member;
 use bergamotpitch_control::{Options, Tables};
 use bergamotpitch_core::ids::{InstanceId, ServiceId, id_of_name};
@@ -13,12 +13,12 @@
 /// Chance makes one of 47 instances the home of four of nine services. It sends four times what the
 /// others do and falls behind, and the teams of four services wait for its grants.
 #[test]
-fn distinct_homes() {
+fn distinct_coordinators() {
     for first in 0..20 {
         let instances = instances(first, 47);
-        let homes: BTreeSet<InstanceId> =
-            SERVICES.map(|service| home_of(&view(&instances, 0), service)).collect();
-        assert_eq!(homes.len(), SERVICES.len());
+        let coordinators: BTreeSet<InstanceId> =
+            SERVICES.map(|service| coordinator_of(&view(&instances, 0), service)).collect();
+        assert_eq!(coordinators.len(), SERVICES.len());
     }
 }
 
@@ -28,9 +28,9 @@
     for count in [1, 3, 20, 47] {
         let instances = instances(7, count);
         for service in SERVICES {
-            let homes: BTreeSet<InstanceId> =
-                (0..count).map(|own| home_of(&view(&instances, own), service)).collect();
-            assert_eq!(homes.len(), 1, "{count} instances, service {service}");
+            let coordinators: BTreeSet<InstanceId> =
+                (0..count).map(|own| coordinator_of(&view(&instances, own), service)).collect();
+            assert_eq!(coordinators.len(), 1, "{count} instances, service {service}");
         }
     }
 }
--- a/crates/bergamotpitch-control/tests/gone_members.rs
+++ b/crates/bergamotpitch-control/tests/gone_members.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bergamotpitch_control::fairness::homes::weight;
+use bergamotpitch_control::fairness::coordinators::weight;
 use bergamotpitch_control::inputs::Sender;
 use bergamotpitch_control::messages::Heartbeat;
 use bergamotpitch_control::{Input, Message, Options, Output, Tables, step};
--- a/crates/bergamotpitch-control/tests/leaving_upstreams.rs
+++ b/crates/bergamotpitch-control/tests/leaving_upstreams.rs
@@ -30,7 +30,7 @@
     Input::LoadReported { upstream: upstream(), report }
 }
 
-fn told(age_ds: u16) -> Input {
+fn announced_by_peer(age_ds: u16) -> Input {
     let sender = Sender {
         instance: 9,
         incarnation: 1,
@@ -47,7 +47,7 @@
 #[test]
 fn every_source() {
     let answered = Input::UpstreamLeaving { upstream: upstream() };
-    for notice in [listed(true), reported(true), answered, told(2)] {
+    for notice in [listed(true), reported(true), answered, announced_by_peer(2)] {
         let mut bench = Bench::new(2);
         bench.step(vec![notice]);
         for _ in 0..4 {
@@ -77,7 +77,7 @@
     bench.step(vec![reported(true)]);
     for second in 1..=29_u16 {
         bench.wait(Duration::from_secs(1));
-        bench.step(vec![reported(false), told(second * 10)]);
+        bench.step(vec![reported(false), announced_by_peer(second * 10)]);
         let entry = &bench.tables.upstreams[&upstream()];
         assert!(entry.leaving, "withdrawn after {second} s");
     }
@@ -90,7 +90,7 @@
 #[test]
 fn across_sheets() {
     let mut bench = Bench::new(0);
-    bench.step(vec![told(1)]);
+    bench.step(vec![announced_by_peer(1)]);
     let learned = Input::SheetLearned(Arc::new(sheet(1, "", 2)));
     bench.step(vec![learned]);
     assert!(sent(&bench.arrive("delft", false).1).is_empty());
--- a/crates/bergamotpitch-control/tests/member_gossip.rs
+++ b/crates/bergamotpitch-control/tests/member_gossip.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bergamotpitch_control::fairness::homes::weight;
+use bergamotpitch_control::fairness::coordinators::weight;
 use bergamotpitch_control::inputs::{ListedInstance, Sender};
 use bergamotpitch_control::{Input, Options, Output, Tables, step};
 
--- a/crates/bergamotpitch-control/tests/request_bounds.rs
+++ b/crates/bergamotpitch-control/tests/request_bounds.rs
@@ -35,7 +35,7 @@
 /// longer than its caller does is refused when it comes, with the time to come back, and not when
 /// its deadline passes.
 #[test]
-fn hopeless_deadline() {
+fn unreachable_deadline() {
     let mut bench = Bench::new(1);
     let mut running: Vec<u64> = Vec::new();
     for _ in 0..100 {
@@ -50,10 +50,10 @@
         let outputs = bench.end(done, AttemptOutcome::Answered);
         running.extend(sent(&outputs).iter().map(|sent| sent.request));
     }
-    let mut hasty = bench.arrival("delft", false);
-    hasty.deadline = bench.now + Duration::from_millis(500);
-    let request = hasty.request;
-    let outputs = bench.step(vec![Input::Arrived(hasty)]);
+    let mut urgent = bench.arrival("delft", false);
+    urgent.deadline = bench.now + Duration::from_millis(500);
+    let request = urgent.request;
+    let outputs = bench.step(vec![Input::Arrived(urgent)]);
     let refusals = refused(&outputs);
     assert_eq!(refusals.len(), 1);
     assert_eq!(refusals[0].0, request);
@@ -68,7 +68,7 @@
 /// A team that asks once an hour must not be thought to be served once an hour: its request would be
 /// refused although every upstream is idle.
 #[test]
-fn seldom_asked() {
+fn infrequent_team() {
     let mut bench = Bench::new(1);
     for _ in 0..5 {
         bench.now += Duration::from_secs(3_600);
--- a/crates/bergamotpitch-control/tests/retry_budgets.rs
+++ b/crates/bergamotpitch-control/tests/retry_budgets.rs
@@ -13,7 +13,7 @@
 /// again of load that they cannot carry. Retries must stay within a tenth of the first attempts and
 /// a small reserve.
 #[test]
-fn half_dead() {
+fn intermittent_failures() {
     let mut bench = Bench::new(8);
     let mut attempts = 0;
     let mut spent = 0;
--- a/crates/bergamotpitch-control/tests/short_deadlines.rs
+++ b/crates/bergamotpitch-control/tests/short_deadlines.rs
@@ -32,7 +32,7 @@
 /// An upstream takes requests and sends nothing to anyone. A deadline that passes there is the only
 /// evidence; without a pause each further request would be lost in it.
 #[test]
-fn silent_upstream() {
+fn unresponsive_upstream() {
     let mut bench = Bench::new(1);
     let (first, _) = bench.arrive("delft", false);
     bench.wait(Duration::from_millis(100));
@@ -48,7 +48,7 @@
 /// A request reaches its upstream a few milliseconds before its deadline. No upstream can answer in
 /// that time, and nothing is learned of it.
 #[test]
-fn late_hand_over() {
+fn late_dispatch() {
     let mut bench = Bench::new(1);
     let (late, _) = bench.arrive("delft", false);
     bench.wait(Duration::from_millis(10));
--- a/crates/bergamotpitch-control/tests/takeover_reports.rs
+++ b/crates/bergamotpitch-control/tests/takeover_reports.rs
@@ -1,9 +1,9 @@
 //! A new home hears of every team that matters, however many teams an instance has served.
 
-use bergamotpitch_control::fairness::home_reports;
-use bergamotpitch_control::fairness::homes::Home;
+use bergamotpitch_control::fairness::coordinators::Coordinator;
 use bergamotpitch_control::fairness::leases::{self, Leases};
 use bergamotpitch_control::fairness::share_messages::{ShareReport, TeamLine};
+use bergamotpitch_control::fairness::share_reports;
 use bergamotpitch_control::inputs::Sender;
 use bergamotpitch_control::{Message, Tables};
 
@@ -23,16 +23,16 @@
         let entry = known.teams.entry(team).or_default();
         entry.waiting_requests = u32::from(team % 10 == 0);
     }
-    leases::adopt(&mut known, 7, 1, 1);
-    let mut named = std::collections::BTreeSet::new();
+    leases::register(&mut known, 7, 1, 1);
+    let mut reported = std::collections::BTreeSet::new();
     for _ in 0..5 {
         let report = leases::report(&tables, SERVICE, &mut known, 0);
-        named.extend(report.teams.iter().map(|line| line.team));
-        known.seen = report.sequence;
+        reported.extend(report.teams.iter().map(|line| line.team));
+        known.acknowledged_sequence = report.sequence;
         let size = postcard::to_stdvec(&Message::ShareReport(report)).map(|bytes| bytes.len());
         assert!(size.as_ref().is_ok_and(|size| *size <= REPORT_BYTES), "{size:?}");
     }
-    assert!(named.into_iter().eq((0..6_500).filter(|team| team % 10 == 0)));
+    assert!(reported.into_iter().eq((0..6_500).filter(|team| team % 10 == 0)));
     assert!(!known.changed);
 }
 
@@ -42,7 +42,7 @@
 #[test]
 fn rested_team() {
     let mut tables = Tables::default();
-    tables.homes.insert(SERVICE, Home::default());
+    tables.coordinators.insert(SERVICE, Coordinator::default());
     let line = |served_cost, base_cost| TeamLine {
         team: 1,
         waiting_requests: 1,
@@ -55,14 +55,14 @@
     for (index, line) in lines.into_iter().enumerate() {
         let report = ShareReport {
             service: SERVICE,
-            adoption: 1,
+            registration: 1,
             sequence: index as u32 + 1,
             teams: vec![line],
             ..ShareReport::default()
         };
-        home_reports::apply_report(&mut tables, sender(), report, None);
+        share_reports::apply_report(&mut tables, sender(), report, None);
     }
-    assert_eq!(tables.homes[&SERVICE].teams[&1].served_cost, 900);
+    assert_eq!(tables.coordinators[&SERVICE].teams[&1].served_cost, 900);
 }
 
 fn sender() -> Sender {
--- a/crates/bergamotpitch-proof/src/bin/bergamotpitch-slopes/takeovers.rs
+++ b/crates/bergamotpitch-proof/src/bin/bergamotpitch-slopes/takeovers.rs
@@ -75,10 +75,10 @@
     }
     let before = bytes_until(&mut run, AFTERWARDS);
     let lost = (0..run.routers.len())
-        .max_by_key(|index| run.routers[*index].tables.homes.len())
+        .max_by_key(|index| run.routers[*index].tables.coordinators.len())
         .expect("there are routers");
     run.routers[lost].is_lost = true;
-    let homes: Vec<_> = run.routers[lost].tables.homes.keys().copied().collect();
+    let coordinators: Vec<_> = run.routers[lost].tables.coordinators.keys().copied().collect();
     for router in &mut run.routers {
         router.meter = Meter::default();
     }
@@ -88,9 +88,10 @@
         tick(&mut run);
         let has_home = |service| {
             let live = run.routers.iter().filter(|router| !router.is_lost);
-            live.filter_map(|router| router.tables.homes.get(service)).any(|home| home.recovered)
+            live.filter_map(|router| router.tables.coordinators.get(service))
+                .any(|coordinator| coordinator.recovered)
         };
-        if without_home == AFTERWARDS && homes.iter().all(has_home) {
+        if without_home == AFTERWARDS && coordinators.iter().all(has_home) {
             without_home = run.now - started;
         }
     }
--- a/crates/bergamotpitch-proof/src/schedules.rs
+++ b/crates/bergamotpitch-proof/src/schedules.rs
@@ -95,6 +95,9 @@
     let service = id_of_name(&fleet.deployment.sheet.services[0].name);
     fleet.routers.iter().position(|router| {
         router.place == place
-            && router.tables.as_ref().is_some_and(|tables| tables.homes.contains_key(&service))
+            && router
+                .tables
+                .as_ref()
+                .is_some_and(|tables| tables.coordinators.contains_key(&service))
     })
 }
--- a/crates/bergamotpitch-proof/tests/returned_home.rs
+++ b/crates/bergamotpitch-proof/tests/returned_coordinator.rs
@@ -12,7 +12,7 @@
 const KILLED: Duration = Duration::from_secs(20);
 
 /// When it is back without memory, and takes the duty over again.
-const BACK: Duration = Duration::from_secs(22);
+const RESTARTED: Duration = Duration::from_secs(22);
 
 /// All work stands before one crowded domain, which borrows the slots of the two others. Its home is
 /// killed, another instance takes over, and the first comes back without memory. Each time the new
@@ -26,7 +26,7 @@
         load.router_weights = vec![1.0, 1.0, 1.0, 0.0, 0.0, 0.0, 0.0, 0.0];
     }
     let killed_ms = KILLED.as_millis() as u64;
-    let back_ms = BACK.as_millis() as u64;
+    let back_ms = RESTARTED.as_millis() as u64;
     scenario.schedule =
         vec![at_ms(killed_ms, Fault::StopHome(0)), at_ms(back_ms, Fault::StartStopped)];
     for seed in 1..=4 {
@@ -41,7 +41,7 @@
         // Requests are lost with the killed instance, and its leases until it is taken for gone.
         let taken_over = between(KILLED, 5);
         assert!(0.85 <= taken_over, "seed {seed}: {taken_over}");
-        let returned = between(BACK, 5);
+        let returned = between(RESTARTED, 5);
         assert!(0.93 <= returned, "seed {seed}: {returned}");
     }
 }
--- a/crates/bergamotpitch-proof/tests/share_guards.rs
+++ b/crates/bergamotpitch-proof/tests/share_guards.rs
@@ -11,7 +11,7 @@
 /// saved up credit and take the slots of all others until it has caught up.
 #[test]
 fn idle_team() {
-    let guards = ShareGuards { lifts_idle: false, ..ShareGuards::default() };
+    let guards = ShareGuards { raises_idle: false, ..ShareGuards::default() };
     let (with, without) = with_and_without("flood of one team", &verkeersbesluit(), guards);
     assert!(with.gap <= with.bound, "{with:?}");
     assert!(without.bound < without.gap, "{without:?}");
@@ -46,10 +46,10 @@
 /// is known. Two rules keep it from that, reports over a third instance and what others tell of the
 /// home; with one of them the gap stays within its bound, without both it does not.
 #[test]
-fn deaf_instance() {
+fn one_way_link() {
     for seed in [1, 2] {
         let mut without = FleetOptions { seed, ..FleetOptions::default() };
-        without.control.share_guards.takes_detours = false;
+        without.control.share_guards.uses_relays = false;
         without.control.member_guards.believes_others = false;
         let (with, without) = with_and_options("one-way cut inside", &blomakerfi(), &without);
         assert!(with.gap <= with.bound, "{with:?}");
--- a/crates/bergamotpitch-router/src/controls.rs
+++ b/crates/bergamotpitch-router/src/controls.rs
@@ -192,7 +192,7 @@
 }
 
 fn publish_duties(control: &Control) {
-    let duties = control.tables.homes.keys();
+    let duties = control.tables.coordinators.keys();
     let published = control.context.duties.load();
     if !duties.clone().eq(published.iter()) {
         control.context.duties.store(Arc::new(duties.copied().collect()));
