--- a/crates/bergamotpitch-control/src/traffic/concurrency_limits.rs
+++ b/crates/bergamotpitch-control/src/traffic/concurrency_limits.rs
@@ -76,15 +76,15 @@
     /// use std::time::Duration;
     ///
     /// use bergamotpitch_control::traffic::concurrency_limits::{ConcurrencyLimit, Options};
-    /// use bergamotpitch_control::traffic::team_windows::Standing;
+    /// use bergamotpitch_control::traffic::team_windows::ShareClass;
     ///
     /// let mut limit = ConcurrencyLimit::new(Options::default());
-    /// (0..100).for_each(|_| limit.began(1));
-    /// limit.note_wait(Duration::from_millis(200), Duration::from_secs(1));
-    /// assert!(!limit.admits(1, Standing::WithinShare));
-    /// assert!(limit.admits(2, Standing::WithinShare), "the other team has no stream here");
-    /// (0..60).for_each(|_| limit.ended(1));
-    /// assert!(limit.admits(1, Standing::WithinShare));
+    /// (0..100).for_each(|_| limit.stream_started(1));
+    /// limit.record_delay(Duration::from_millis(200), Duration::from_secs(1));
+    /// assert!(!limit.admits(1, ShareClass::WithinShare));
+    /// assert!(limit.admits(2, ShareClass::WithinShare), "the other team has no stream here");
+    /// (0..60).for_each(|_| limit.stream_ended(1));
+    /// assert!(limit.admits(1, ShareClass::WithinShare));
     /// ```
     pub fn new(options: Options) -> Self {
         Self {
--- a/crates/bergamotpitch-control/src/traffic/dispatchers.rs
+++ b/crates/bergamotpitch-control/src/traffic/dispatchers.rs
@@ -88,9 +88,9 @@
 /// let candidate = |instance, processor_millis| Candidate {
 ///     instance,
 ///     processor_millis,
-///     heard: now,
-///     is_able: true,
-///     is_settled: true,
+///     last_seen: now,
+///     is_eligible: true,
+///     is_warmed_up: true,
 /// };
 /// let others: Vec<_> = (1..=5).map(|instance| candidate(instance, 120)).collect();
 /// let role = role_of(&candidate(9, 500), &others, now, &Options::default());
--- a/crates/bergamotpitch-control/src/traffic/facts.rs
+++ b/crates/bergamotpitch-control/src/traffic/facts.rs
@@ -74,7 +74,7 @@
     ///
     /// let prefix = vec![PromptPart { id: 1, tokens: 500 }, PromptPart { id: 2, tokens: 70 }];
     /// let facts = RequestFacts { prompt_tokens: 570, prefix, ..Default::default() };
-    /// assert_eq!((facts.shared_tokens(), facts.own_tokens()), (500, 70));
+    /// assert_eq!((facts.shared_tokens(), facts.unshared_tokens()), (500, 70));
     /// ```
     pub fn shared_tokens(&self) -> u64 {
         self.prefix.iter().rev().skip(1).map(|part| u64::from(part.tokens)).sum()
@@ -87,8 +87,8 @@
     ///
     /// let prefix = vec![PromptPart { id: 1, tokens: 500 }, PromptPart { id: 2, tokens: 70 }];
     /// let facts = RequestFacts { prompt_tokens: 570, prefix, ..Default::default() };
-    /// assert_eq!(facts.shared_start(), Some(1));
-    /// assert_eq!(RequestFacts::default().shared_start(), None);
+    /// assert_eq!(facts.shared_prefix(), Some(1));
+    /// assert_eq!(RequestFacts::default().shared_prefix(), None);
     /// ```
     pub fn shared_prefix(&self) -> Option<PartId> {
         self.prefix.iter().rev().nth(1).map(|part| part.id)
--- a/crates/bergamotpitch-control/src/traffic/team_windows.rs
+++ b/crates/bergamotpitch-control/src/traffic/team_windows.rs
@@ -318,12 +318,12 @@
     ///
     /// let mut windows = TeamWindows::new(Options::default());
     /// let now = Duration::from_secs(1);
-    /// windows.note_asked(5, 100, now);
-    /// let sums = TeamSums { asked_tokens: 30, begun_tokens: 30 };
-    /// windows.peer_heard(1, [(5, sums)], now, now);
-    /// windows.peer_heard(2, [(5, sums)], now, now);
-    /// let both = windows.sums_with(true, |peer| peer == 1, now);
-    /// assert_eq!(both[&5].window, TeamSums { asked_tokens: 130, begun_tokens: 30 });
+    /// windows.record_request(5, 100, now);
+    /// let sums = TeamSums { requested_tokens: 30, dispatched_tokens: 30 };
+    /// windows.set_peer_sums(1, [(5, sums)], now, now);
+    /// windows.set_peer_sums(2, [(5, sums)], now, now);
+    /// let both = windows.combined_sums(true, |peer| peer == 1, now);
+    /// assert_eq!(both[&5].window, TeamSums { requested_tokens: 130, dispatched_tokens: 30 });
     /// ```
     pub fn combined_sums(
         &mut self,
@@ -379,9 +379,9 @@
     ///
     /// let mut windows = TeamWindows::new(Options::default());
     /// let now = Duration::from_secs(9);
-    /// windows.note_asked(1, 90_000, now);
-    /// windows.note_asked(2, 500, now);
-    /// windows.note_begun(2, 500, now);
+    /// windows.record_request(1, 90_000, now);
+    /// windows.record_request(2, 500, now);
+    /// windows.record_dispatch(2, 500, now);
     /// let view = windows.view(Some(10_000), now);
     /// assert_eq!(view.waiting.iter().map(|team| team.team).collect::<Vec<_>>(), [1]);
     /// assert_eq!(view.sources, 0);
--- a/crates/bergamotpitch-control/src/traffic/upstream_candidates.rs
+++ b/crates/bergamotpitch-control/src/traffic/upstream_candidates.rs
@@ -26,9 +26,9 @@
     pub memory_fraction: f64,
 }
 
-/// `PLAIN_SLOTS_FRACTION` is how many calls a plain service may have in hand for each slot: a short
+/// `PLAIN_SLOTS_FACTOR` is how many calls a plain service may have in hand for each slot: a short
 /// queue keeps its slots busy.
-const PLAIN_SLOTS_FRACTION: f64 = 3.0;
+const PLAIN_SLOTS_FACTOR: f64 = 3.0;
 
 /// `REMOTE_REGION_PENALTY_MS` is what the bytes of a request and its answer weigh when they go to another region,
 /// in milliseconds of waiting. The bytes of a long prompt cost about what a tenth of a second of an
@@ -156,7 +156,7 @@
     }
 
     fn has_slot(&self, is_generation: bool, limits: &UtilizationLimits) -> bool {
-        let fraction = if is_generation { limits.slots_fraction } else { PLAIN_SLOTS_FRACTION };
+        let fraction = if is_generation { limits.slots_fraction } else { PLAIN_SLOTS_FACTOR };
         let bound = (f64::from(self.slots) * fraction).max(1.0);
         f64::from(self.figures.requests) + 1.0 <= bound
     }
